--- a/include/foxtailspread/graceful_stop.h
+++ b/include/foxtailspread/graceful_stop.h
@@ -2,7 +2,7 @@
 #define FOXTAILSPREAD_GRACEFUL_STOP_H_
 
 /// @file
-/// What a host that was asked to stop does when.
+/// Phases of a graceful shutdown, and when each begins.
 
 #include <chrono>
 #include <optional>
@@ -11,30 +11,31 @@
 
 namespace foxtailspread {
 
-/// How far a stop has come.
+/// Phases of a graceful shutdown, in order.
 enum class stop_phase {
-  kRunning,   ///< No stop was asked for.
-  kUnready,   ///< Says it is not ready; takes requests as before.
-  kClosing,   ///< Closes each connection after its answer.
-  kRefusing,  ///< Refuses new requests, which might not end in time.
-  kDone,      ///< Nothing is left to do, or no time.
+  kRunning,   ///< No stop has been requested.
+  kUnready,   ///< Fails readiness checks; accepts requests as before.
+  kClosing,   ///< Closes each connection after its current response.
+  kRefusing,  ///< Refuses new requests, which might not finish in time.
+  kDone,      ///< No work or no time is left; the process may exit.
 };
 
-/// The stop of one host, from the request to its end.
+/// Graceful shutdown of one host, from the stop request to the exit.
 ///
-/// The balancer needs two misses, a second apart, before it sends no more
-/// connections; if most hosts of a zone stop, it sends them on regardless.
-/// Requests that come late would be cut off when the process is ended from
-/// outside, and their callers could not tell whether they had run.
+/// The load balancer stops sending connections only after two failed readiness
+/// checks, a second apart; if most hosts of a zone stop, it keeps sending them.
+/// Late requests would be cut off when the process is killed, and their callers
+/// could not tell whether they had been executed.
 ///
 /// @code
 /// graceful_stop stop(grace);
 /// stop.Begin(now);
-/// if (stop.Phase(now, work_left) == stop_phase::kDone) End();
+/// if (stop.Phase(now, has_pending_work) == stop_phase::kDone) Exit();
 /// @endcode
 class graceful_stop {
  public:
-  /// `grace` is the time from the request to the end from outside.
+  /// `grace_period` is the time from the stop request until the process is
+  /// killed.
   explicit graceful_stop(duration grace) : grace_(grace) {}
 
   void Begin(time_point now) {
@@ -43,7 +44,8 @@
     }
   }
 
-  /// `work_left` tells whether requests, connections or duties remain.
+  /// Returns the phase at `now`. `has_pending_work` tells whether requests,
+  /// connections or background duties remain.
   stop_phase Phase(time_point now, bool work_left) const;
 
   bool has_begun() const { return began_.has_value(); }
--- a/include/foxtailspread/kind_follower.h
+++ b/include/foxtailspread/kind_follower.h
@@ -2,11 +2,12 @@
 #define FOXTAILSPREAD_KIND_FOLLOWER_H_
 
 /// @file
-/// Keeps a host's copy of one kind of the store's objects up to date: lists it
-/// once, then watches from the listed revision on.
+/// Keeps a host's copy of all objects of one kind in the store up to date:
+/// lists the kind once, then watches it from the listed revision.
 ///
-/// A stale list costs a fraction of a current one, and a watch from its
-/// revision makes it current. Kinds of several pages are listed so.
+/// A list call that allows stale data costs a fraction of a consistent one, and
+/// a watch from the returned revision brings it up to date. Kinds that span
+/// several pages are listed this way.
 
 #include <algorithm>
 #include <cstdint>
@@ -21,8 +22,8 @@
 
 namespace foxtailspread {
 
-/// One object of the store. An object whose content cannot be read has no
-/// item: it exists, but says nothing that may be used.
+/// One object of the store. An object whose content cannot be parsed is kept
+/// without an item: it exists, but its content must not be used.
 template <typename Item>
 struct store_object {
   std::string name;
@@ -30,63 +31,65 @@
   std::optional<Item> item{};
 };
 
-/// The answer to a list call: a page of the kind.
+/// The response to a list call: one page of the objects of a kind.
 template <typename Item>
 struct list_page {
   std::vector<store_object<Item>> objects;
-  bool more = false;      ///< Ask again after the last name.
-  uint64_t revision = 0;  ///< The store's when it answered.
+  bool more = false;      ///< Continue after the last name.
+  uint64_t revision = 0;  ///< Of the store at the response.
 };
 
-/// One change of an object.
+/// A written or deleted object.
 template <typename Item>
 struct store_change {
   store_object<Item> object;
   bool deleted = false;
 };
 
-/// The answer to a watch.
+/// The response to a watch call.
 template <typename Item>
 struct change_page {
   std::vector<store_change<Item>> changes;
-  uint64_t revision = 0;  ///< Watch on from here.
+  uint64_t revision = 0;  ///< The next watch starts here.
 };
 
-/// The intervals of a follower.
+/// Timing and behaviour of a follower.
 struct follow_timing {
-  /// How long a watch waits for a change.
+  /// How long the store holds a watch call open until something changes.
   duration wait{std::chrono::seconds{20}};
-  /// Least time between two watches. Kinds that change all the time are
-  /// fetched in batches, since each call is paid for.
+  /// Minimum time between the starts of two watch calls. Calls to the store are
+  /// billed, so changes of frequently written kinds are fetched in batches.
   duration pace{0};
-  /// Pauses after failed calls. Each of them is paid for, also while the store
-  /// turns this host away; a leaving target must be known soon after that ends.
+  /// Bounds of the backoff after failed calls. Calls are billed even while the
+  /// store rejects this host, but once it accepts calls again, a draining
+  /// target must be discovered soon.
   duration retry_first{std::chrono::milliseconds{200}};
   duration retry_most{std::chrono::milliseconds{1600}};
-  /// A copy that differs from another host's is read again no more often: the
-  /// other's may be the older one, until its own next call (650 ms) and
-  /// heartbeat.
+  /// Minimum time between two lists that are made because another host's copy
+  /// differs. The other copy may be the outdated one, until that host's next
+  /// call (650 ms) and heartbeat.
   duration refresh_pause{std::chrono::milliseconds{900}};
-  /// Lists may be stale; each is made current by a watch before it is used.
+  /// Lists may return stale data; a watch brings each list up to date before it
+  /// is used.
   bool stale_lists = false;
-  /// A copy whose revision is older is listed: the store may have forgotten the
-  /// changes since.
+  /// How long the store is assumed to keep its change history. A copy whose
+  /// revision is older than this is listed again instead of watched.
   duration history{std::chrono::seconds{10}};
-  /// Another host tells the content itself: while it vouches for that, no copy
-  /// is needed here.
+  /// Another host sends the content itself. While it does (see SuppressCalls),
+  /// this host needs no copy and makes no calls.
   bool told_by_others = false;
 };
 
-/// The next call of a follower.
+/// A call that a follower asks its owner to make: a list or a watch.
 struct follow_call {
   bool list = false;
-  bool stale = false;   ///< With list: the answer may be seconds old.
-  std::string after{};  ///< With list: the last name of the page before.
-  uint64_t since = 0;   ///< With watch.
-  duration wait{};      ///< With watch.
+  bool stale = false;   ///< List only: the response may be seconds old.
+  std::string after{};  ///< List only: last name of the previous page.
+  uint64_t since = 0;   ///< Watch only: the revision to start from.
+  duration wait{};      ///< Watch only: how long to wait for a change.
 };
 
-/// Follows one kind. At most one call is under way.
+/// Tracks all objects of one kind. At most one call is in flight.
 ///
 /// @code
 /// if (auto call = follower.NextCall(now)) Start(*call);
@@ -100,7 +103,7 @@
   explicit kind_follower(follow_timing timing)
       : timing_(timing), pause_(timing.retry_first, timing.retry_most) {}
 
-  /// Returns the call that is due now and counts it as under way.
+  /// Returns the call that is due now, if any, and marks it as in flight.
   std::optional<follow_call> NextCall(time_point now) {
     if (calling_ || now < DueAt()) {
       return std::nullopt;
@@ -121,11 +124,11 @@
         .wait = std::exchange(at_once_, false) ? duration{0} : timing_.wait};
   }
 
-  /// When NextCall has something, if no call is under way.
+  /// When NextCall will return a call; never while one is in flight.
   time_point NextDue() const { return calling_ ? time_point::max() : DueAt(); }
 
-  /// Takes a page of the list. True when the copy is complete and may differ
-  /// from before.
+  /// Handles a page of a list. Returns true when the list has replaced the
+  /// copy, which may have changed by that.
   bool OnListed(list_page<Item> page, time_point now) {
     Answered(now);
     if (listing_after_.empty()) {
@@ -136,7 +139,8 @@
       std::string name = object.name;
       listed_.insert_or_assign(std::move(name), std::move(object));
     }
-    // Changes between two pages are found by watching from the oldest.
+    // The watch starts at the oldest revision of all pages, so that it covers
+    // changes made between two pages.
     listing_revision_ = listing_revision_ == 0
                             ? page.revision
                             : std::min(listing_revision_, page.revision);
@@ -151,7 +155,8 @@
     return true;
   }
 
-  /// Takes the answer to a watch. True when something changed.
+  /// Handles the response to a watch. Returns whether the copy may have
+  /// changed.
   bool OnWatched(change_page<Item> page, time_point now) {
     Answered(now);
     next_call_ = std::max(now, began_ + timing_.pace);
@@ -173,7 +178,8 @@
     return changed;
   }
 
-  /// The store no longer has the changes since this copy: list again.
+  /// The store no longer has the changes since this copy's revision, so the
+  /// kind is listed again.
   void OnHistoryGone(time_point now) {
     Answered(now);
     stale_failed_ = catching_up_;
@@ -181,7 +187,7 @@
     DropListed();
   }
 
-  /// The call brought no answer, or was refused.
+  /// The call got no response, or was rejected.
   void OnFailed(time_point now) {
     calling_ = false;
     answers_ = false;
@@ -189,25 +195,27 @@
     next_call_ = now + pause_.Fail();
   }
 
-  /// The store answered another call: one that failed may be made again.
+  /// The store answered a call of another follower: a call that is waiting in
+  /// backoff may be retried now.
   void RetryNow(time_point now) {
     if (IsFailing() && !calling_) {
       next_call_ = std::min(next_call_, now);
     }
   }
 
-  /// Another host vouches that the copy was current at `as_of`: no call before
-  /// `until`.
+  /// Another host has confirmed that the copy was current at `as_of`. Makes no
+  /// call before `until`.
   void Confirm(time_point as_of, time_point until) {
     vouched_until_ = until;
     current_as_of_ = std::max(current_as_of_, as_of);
   }
 
-  /// Another host tells the content itself: no call before `until`.
+  /// Another host sends the content itself. Makes no call before `until`.
   void Spare(time_point until) { vouched_until_ = until; }
 
-  /// Another host's copy differs: read the kind again now, unless that was
-  /// just done. It will have been compared again by `until`.
+  /// Another host's copy differs: lists the kind again now, unless it was just
+  /// listed for that reason. The copies will be compared again by `until`, so
+  /// no further call is made before then.
   void Refresh(time_point now, time_point until) {
     if (now < refresh_after_) {
       return;
@@ -220,8 +228,9 @@
     }
   }
 
-  /// Nobody vouches any more, and what the store has now is needed: the next
-  /// watch starts now and does not wait.
+  /// No other host confirms the copy any more and the store's current state is
+  /// needed: the next watch starts now and returns without waiting for a
+  /// change.
   void ReadNow(time_point now) {
     vouched_until_ = {};
     at_once_ = true;
@@ -230,8 +239,8 @@
     }
   }
 
-  /// Takes changes that another host read, whose copy with them was current at
-  /// `as_of`. True when something changed here.
+  /// Applies changes that another host has read; with them its copy was current
+  /// at `as_of`. Returns whether this copy changed.
   bool OnShared(std::vector<store_change<Item>> changes, time_point as_of) {
     if (!complete_) {
       return false;
@@ -248,21 +257,20 @@
   }
 
   const object_map& objects() const { return objects_; }
-  /// True once the whole kind was read in this life.
+  /// True once the whole kind has been read since the process started.
   bool complete() const { return complete_; }
-  /// True while the copy is to be replaced by a list of the whole kind.
+  /// True while a list of the whole kind is needed or in progress.
   bool is_listing() const { return must_list_; }
-  /// True while the last call was answered.
+  /// True if the last finished call got a response; false before the first.
   bool answers() const { return answers_; }
-  /// True while the last call failed.
+  /// True if the last finished call failed.
   bool IsFailing() const { return !answers_ && failed_at_; }
-  /// When a call last failed.
   std::optional<time_point> failed_at() const { return failed_at_; }
-  /// The copy holds all that the store had by then, unless it has stopped
-  /// hearing the watch, which the next one shows.
+  /// The copy contains everything that the store had at this time, unless a
+  /// watch has stopped delivering changes, which the next watch reveals.
   time_point current_as_of() const { return current_as_of_; }
-  /// The same of the copy before the last answer: what that answer changed
-  /// happened after this.
+  /// The value of current_as_of() before the last update. Everything that this
+  /// update changed happened after that time.
   time_point same_until() const { return same_until_; }
 
  private:
@@ -290,8 +298,8 @@
     catching_up_ = false;
   }
 
-  /// Puts the list in place of the copy; it holds all that the store had by
-  /// `as_of`.
+  /// Replaces the copy by the finished list, which contains everything that the
+  /// store had at `as_of`.
   void UseListed(time_point as_of) {
     objects_ = std::exchange(listed_, {});
     revision_ = listing_revision_;
@@ -324,10 +332,10 @@
   std::string listing_after_;
   uint64_t listing_revision_ = 0;
   uint64_t revision_ = 0;
-  time_point revision_at_{};  ///< When the store was at that revision.
+  time_point revision_at_{};  ///< When the store had that revision.
   bool must_list_ = true;
-  bool catching_up_ = false;   ///< All pages are there, stale.
-  bool stale_failed_ = false;  ///< History was gone since a stale list.
+  bool catching_up_ = false;   ///< Stale list complete; its watch is next.
+  bool stale_failed_ = false;  ///< History no longer reached back to it.
   bool complete_ = false;
   bool calling_ = false;
   bool answers_ = false;
--- a/src/core/graceful_stop.cc
+++ b/src/core/graceful_stop.cc
@@ -7,21 +7,25 @@
 
 using std::chrono::milliseconds;
 
-/// From the stop request until the balancer has seen two misses.
-constexpr duration kBalancerLag{milliseconds{2300}};
+/// From the stop request until the load balancer has seen two failed readiness
+/// checks.
+constexpr duration kBalancerReactionTime{milliseconds{2300}};
 
-/// From the stop request until new requests are refused. Later ones would have
-/// less than the second half of the usual grace, too little for slow work.
-constexpr duration kRefuseAfter{milliseconds{2900}};
+/// From the stop request until new requests are refused. A later request would
+/// have less than half of the usual grace period, too little for slow work.
+constexpr duration kRefuseDelay{milliseconds{2900}};
 
-/// A stop takes no less, even without work: connections may be on their way.
-constexpr duration kLeastTime{milliseconds{3200}};
+/// Minimum duration of a stop, even without work: new connections may still be
+/// on their way.
+constexpr duration kMinStopTime{milliseconds{3200}};
 
-/// Kept back from the grace, so that the host ends by itself.
-constexpr duration kReserve{milliseconds{400}};
+/// Subtracted from the grace period, so that the host exits before it is
+/// killed.
+constexpr duration kExitReserve{milliseconds{400}};
 
-/// The part of a short grace after which requests are refused.
-constexpr int kShortGracePart = 2;
+/// Requests are refused after the grace period divided by this, if that is
+/// sooner than kRefuseDelay. A stop with pending work ends no sooner than that.
+constexpr int kShortGraceDivisor = 2;
 
 }  // namespace
 
@@ -29,17 +33,21 @@
   if (!began_) {
     return stop_phase::kRunning;
   }
-  const duration passed = now - *began_;
-  const duration end = std::max(grace_ - kReserve, grace_ / kShortGracePart);
-  const duration refuse = std::min(kRefuseAfter, grace_ / kShortGracePart);
-  if (passed >= end || (!work_left && passed >= std::min(kLeastTime, end))) {
+  const duration elapsed = now - *began_;
+  const duration exit_after =
+      std::max(grace_ - kExitReserve, grace_ / kShortGraceDivisor);
+  const duration refuse_after =
+      std::min(kRefuseDelay, grace_ / kShortGraceDivisor);
+  if (elapsed >= exit_after ||
+      (!work_left && elapsed >= std::min(kMinStopTime, exit_after))) {
     return stop_phase::kDone;
   }
-  if (passed >= refuse) {
+  if (elapsed >= refuse_after) {
     return stop_phase::kRefusing;
   }
-  return passed >= std::min(kBalancerLag, refuse) ? stop_phase::kClosing
-                                                  : stop_phase::kUnready;
+  return elapsed >= std::min(kBalancerReactionTime, refuse_after)
+             ? stop_phase::kClosing
+             : stop_phase::kUnready;
 }
 
 }  // namespace foxtailspread
--- a/tests/edge_parts_test.cc
+++ b/tests/edge_parts_test.cc
@@ -1,4 +1,5 @@
-// The small decisions and formats of the entry host for the platform.
+// Tests of small building blocks of a host: the retry budget, graceful
+// shutdown, datagrams between hosts, and copies of the store.
 
 #include <gtest/gtest.h>
 
@@ -17,9 +18,10 @@
 
 class RetryBudgetTest : public ::testing::Test {
  protected:
-  int Repeats(int wanted) {
+  /// Makes `attempts` attempts to retry and returns how many were allowed.
+  int AllowedRetries(int attempts) {
     int allowed = 0;
-    for (int i = 0; i < wanted; ++i) {
+    for (int i = 0; i < attempts; ++i) {
       allowed += budget_.TryRepeat(now_) ? 1 : 0;
     }
     return allowed;
@@ -29,9 +31,9 @@
   time_point now_{seconds{100}};
 };
 
-TEST_F(RetryBudgetTest, SlackIsDividedAmongTheHosts) {
+TEST_F(RetryBudgetTest, SlackIsDividedAmongHosts) {
   budget_.SetHosts(10);
-  EXPECT_EQ(Repeats(100), 4);
+  EXPECT_EQ(AllowedRetries(100), 4);
 }
 
 TEST_F(RetryBudgetTest, RequestsRaiseTheBudget) {
@@ -39,61 +41,62 @@
   for (int i = 0; i < 100; ++i) {
     budget_.OnRequest(now_);
   }
-  EXPECT_EQ(Repeats(100), 20);
+  EXPECT_EQ(AllowedRetries(100), 20);
 }
 
-// The rule holds in any window. A budget that forgets early lets two bursts of
-// repeats fall into one window.
-TEST_F(RetryBudgetTest, RepeatsCountForAWholeWindow) {
-  EXPECT_EQ(Repeats(100), 40);
+// The limit applies to every window of the configured length. A budget that
+// forgot retries too early would allow two bursts within one window.
+TEST_F(RetryBudgetTest, RetriesCountForAWholeWindow) {
+  EXPECT_EQ(AllowedRetries(100), 40);
   now_ += milliseconds{9900};
-  EXPECT_EQ(Repeats(100), 0);
+  EXPECT_EQ(AllowedRetries(100), 0);
   now_ += milliseconds{1200};
-  EXPECT_EQ(Repeats(100), 40);
+  EXPECT_EQ(AllowedRetries(100), 40);
 }
 
 class GracefulStopTest : public ::testing::Test {
  protected:
-  stop_phase After(duration passed, bool work_left) {
-    return stop_.Phase(began_ + passed, work_left);
+  stop_phase PhaseAfter(duration elapsed, bool has_pending_work) {
+    return stop_.Phase(started_at_ + elapsed, has_pending_work);
   }
 
-  void SetUp() override { stop_.Begin(began_); }
+  void SetUp() override { stop_.Begin(started_at_); }
 
-  time_point began_{seconds{100}};
+  time_point started_at_{seconds{100}};
   graceful_stop stop_{seconds{6}};
 };
 
-TEST_F(GracefulStopTest, HostServesUntilTheBalancerHasLookedAway) {
-  EXPECT_EQ(After(milliseconds{100}, false), stop_phase::kUnready);
-  EXPECT_EQ(After(milliseconds{2000}, false), stop_phase::kUnready);
-  EXPECT_EQ(After(milliseconds{2500}, true), stop_phase::kClosing);
+TEST_F(GracefulStopTest, HostServesUntilTheLoadBalancerHasNoticed) {
+  EXPECT_EQ(PhaseAfter(milliseconds{100}, false), stop_phase::kUnready);
+  EXPECT_EQ(PhaseAfter(milliseconds{2000}, false), stop_phase::kUnready);
+  EXPECT_EQ(PhaseAfter(milliseconds{2500}, true), stop_phase::kClosing);
 }
 
-// Most hosts of a zone stop at once, and the balancer goes on sending
-// connections to all of them. A request taken late is cut off at the end, and
-// its caller cannot tell whether it ran.
+// If most hosts of a zone stop at once, the load balancer keeps sending
+// connections to all of them. A request accepted late would be cut off at the
+// exit, and its caller could not tell whether it had been executed.
 TEST_F(GracefulStopTest, LateRequestsAreRefused) {
-  EXPECT_EQ(After(milliseconds{3000}, true), stop_phase::kRefusing);
-  EXPECT_EQ(After(milliseconds{5000}, true), stop_phase::kRefusing);
+  EXPECT_EQ(PhaseAfter(milliseconds{3000}, true), stop_phase::kRefusing);
+  EXPECT_EQ(PhaseAfter(milliseconds{5000}, true), stop_phase::kRefusing);
 }
 
-TEST_F(GracefulStopTest, HostEndsBeforeItIsEnded) {
-  EXPECT_EQ(After(milliseconds{3300}, false), stop_phase::kDone);
-  EXPECT_EQ(After(milliseconds{5650}, true), stop_phase::kDone);
+TEST_F(GracefulStopTest, HostExitsBeforeItIsKilled) {
+  EXPECT_EQ(PhaseAfter(milliseconds{3300}, false), stop_phase::kDone);
+  EXPECT_EQ(PhaseAfter(milliseconds{5650}, true), stop_phase::kDone);
 }
 
-TEST_F(GracefulStopTest, ShortGraceStillRefusesBeforeItEnds) {
+TEST_F(GracefulStopTest, ShortGracePeriodRefusesBeforeTheExit) {
   graceful_stop stop(seconds{2});
-  stop.Begin(began_);
-  EXPECT_EQ(stop.Phase(began_ + milliseconds{1200}, true),
+  stop.Begin(started_at_);
+  EXPECT_EQ(stop.Phase(started_at_ + milliseconds{1200}, true),
             stop_phase::kRefusing);
-  EXPECT_EQ(stop.Phase(began_ + milliseconds{1700}, true), stop_phase::kDone);
+  EXPECT_EQ(stop.Phase(started_at_ + milliseconds{1700}, true),
+            stop_phase::kDone);
 }
 
 class HostMessagesTest : public ::testing::Test {};
 
-TEST_F(HostMessagesTest, MessagesReadBackAsTheyWereWritten) {
+TEST_F(HostMessagesTest, MessagesRoundTrip) {
   const load_report report{.host = "a",
                            .zone = "z",
                            .address = "10.0.0.1:7000",
@@ -122,7 +125,7 @@
             host_message{owners});
 }
 
-TEST_F(HostMessagesTest, LoadsReadBack) {
+TEST_F(HostMessagesTest, LoadsRoundTrip) {
   const loads_record record{{{.target = 4'000'000'000,
                               .load = {.running = 6, .waiting = 2},
                               .age_ms = 70,
@@ -133,31 +136,31 @@
             host_message{record});
 }
 
-TEST_F(HostMessagesTest, ObjectsAndRelayedMessagesReadBack) {
+TEST_F(HostMessagesTest, ObjectsAndRelayedMessagesRoundTrip) {
   const shared_object object{.kind = shared_kind::kDeclarations,
                              .name = "main",
                              .revision = 7,
                              .content = R"({"a":[1,2]})"};
-  const auto read = ParseHostMessage(FormatHostMessage(object));
-  ASSERT_TRUE(read);
-  EXPECT_EQ(std::get<shared_object>(read.value()), object);
+  const auto parsed_object = ParseHostMessage(FormatHostMessage(object));
+  ASSERT_TRUE(parsed_object);
+  EXPECT_EQ(std::get<shared_object>(parsed_object.value()), object);
   const relayed_message relayed{.forward_to = {"1:1", "1:2"},
                                 .payload = FormatHostMessage(object)};
-  const auto passed = ParseHostMessage(FormatHostMessage(relayed));
-  ASSERT_TRUE(passed);
-  EXPECT_EQ(std::get<relayed_message>(passed.value()), relayed);
+  const auto parsed_relayed = ParseHostMessage(FormatHostMessage(relayed));
+  ASSERT_TRUE(parsed_relayed);
+  EXPECT_EQ(std::get<relayed_message>(parsed_relayed.value()), relayed);
 }
 
-// Anybody can send a datagram. What cannot be read is refused, never half
-// taken.
-TEST_F(HostMessagesTest, OtherBytesAreRefused) {
-  const std::string good =
+// Anybody can send a datagram. Malformed input is rejected as a whole, never
+// accepted in part.
+TEST_F(HostMessagesTest, MalformedBytesAreRejected) {
+  const std::string valid =
       FormatHostMessage(assigner_heartbeat{.host = "a", .successors = {"b"}});
   EXPECT_FALSE(ParseHostMessage(""));
   EXPECT_FALSE(ParseHostMessage("hello"));
-  EXPECT_FALSE(ParseHostMessage(good + "x"));
-  for (size_t i = 1; i < good.size(); ++i) {
-    EXPECT_FALSE(ParseHostMessage(good.substr(0, i))) << i;
+  EXPECT_FALSE(ParseHostMessage(valid + "x"));
+  for (size_t i = 1; i < valid.size(); ++i) {
+    EXPECT_FALSE(ParseHostMessage(valid.substr(0, i))) << i;
   }
 }
 
@@ -178,7 +181,7 @@
   time_point now_{seconds{100}};
 };
 
-TEST_F(KindFollowerTest, ListIsFollowedByAWatchFromItsRevision) {
+TEST_F(KindFollowerTest, WatchStartsAtTheRevisionOfTheList) {
   List();
   const auto call = follower_.NextCall(now_);
   ASSERT_TRUE(call);
@@ -187,7 +190,7 @@
   EXPECT_FALSE(follower_.NextCall(now_)) << "one call at a time";
 }
 
-TEST_F(KindFollowerTest, PagesAreJoinedAndWatchedFromTheFirst) {
+TEST_F(KindFollowerTest, PagesAreJoinedAndWatchedFromTheirOldestRevision) {
   follower_.NextCall(now_);
   EXPECT_FALSE(follower_.OnListed(
       {.objects = {{"a", 4, 1}}, .more = true, .revision = 10}, now_));
@@ -198,20 +201,21 @@
   EXPECT_EQ(follower_.NextCall(now_)->since, 10U);
 }
 
-// Guards against a call of each host for what the holder of the lease tells.
-TEST_F(KindFollowerTest, ToldContentNeedsNoListWhileItIsVouchedFor) {
-  kind_follower<int> told{{.wait = seconds{1}, .told_by_others = true}};
-  told.Spare(now_ + seconds{2});
-  EXPECT_FALSE(told.NextCall(now_));
+// Guards against every host calling the store for content that the lease holder
+// sends to all hosts.
+TEST_F(KindFollowerTest, PushedContentNeedsNoListWhileCallsAreSuppressed) {
+  kind_follower<int> pushed{{.wait = seconds{1}, .told_by_others = true}};
+  pushed.Spare(now_ + seconds{2});
+  EXPECT_FALSE(pushed.NextCall(now_));
   now_ += seconds{2};
-  const auto call = told.NextCall(now_);
+  const auto call = pushed.NextCall(now_);
   ASSERT_TRUE(call);
   EXPECT_TRUE(call->list);
 }
 
 class StaleListTest : public ::testing::Test {
  protected:
-  /// Lists a and b, as the store had them at revision 10.
+  /// Handles a stale list of a and b as of revision 10.
   void ListStale() {
     const auto call = follower_.NextCall(now_);
     ASSERT_TRUE(call && call->list);
@@ -225,16 +229,16 @@
   time_point now_{seconds{100}};
 };
 
-// A host that starts reads a stale list. Used as it is, it would send requests
-// to a target that left since.
-TEST_F(StaleListTest, ListIsUsedOnlyWithTheChangesSince) {
+// A starting host reads a stale list. If it used the list without the later
+// changes, it would send requests to a target that has left in the meantime.
+TEST_F(StaleListTest, ListIsNotUsedBeforeLaterChangesAreApplied) {
   ListStale();
   EXPECT_FALSE(follower_.complete());
   const auto call = follower_.NextCall(now_);
   ASSERT_TRUE(call);
   EXPECT_FALSE(call->list);
   EXPECT_EQ(call->since, 10U);
-  EXPECT_EQ(call->wait, duration{0}) << "the answer is needed at once";
+  EXPECT_EQ(call->wait, duration{0}) << "the response is needed immediately";
   EXPECT_TRUE(follower_.OnWatched(
       {.changes = {{{"b", 12, {}}, true}}, .revision = 15}, now_));
   EXPECT_TRUE(follower_.complete());
@@ -242,9 +246,9 @@
   EXPECT_EQ(follower_.NextCall(now_)->since, 15U);
 }
 
-// Pages of a stale list may come from copies of different ages. Changes between
-// the older one and the newer one would be missed.
-TEST_F(StaleListTest, PagesAreWatchedFromTheOldest) {
+// Pages of a stale list may come from replicas of different ages. Watching from
+// the newer revision would miss the changes between the two.
+TEST_F(StaleListTest, PagesAreWatchedFromTheirOldestRevision) {
   follower_.NextCall(now_);
   follower_.OnListed({.objects = {{"a", 4, 1}}, .more = true, .revision = 10},
                      now_);
@@ -254,8 +258,8 @@
   EXPECT_EQ(follower_.NextCall(now_)->since, 8U);
 }
 
-// The copy in use is newer than a stale list. It must not go back.
-TEST_F(StaleListTest, CopyInUseStaysUntilTheListIsCurrent) {
+// The copy in use is newer than a stale list and must not revert to it.
+TEST_F(StaleListTest, CopyInUseIsKeptUntilTheListIsCurrent) {
   ListStale();
   follower_.NextCall(now_);
   follower_.OnWatched({.changes = {{{"b", 12, 3}, false}}, .revision = 15},
@@ -269,9 +273,10 @@
   EXPECT_EQ(follower_.objects().at("b").item, 3);
 }
 
-// The store forgets its history sooner than its stale copies grow old. Another
-// stale list would meet the same again and again, and the host never be ready.
-TEST_F(StaleListTest, LostHistoryLeadsToACurrentList) {
+// The store may keep its change history for less time than its stale data lags
+// behind. Each further stale list could not be watched either, and the host
+// would never become ready.
+TEST_F(StaleListTest, ExpiredHistoryLeadsToAConsistentList) {
   ListStale();
   follower_.NextCall(now_);
   follower_.OnHistoryGone(now_);
@@ -283,7 +288,7 @@
   EXPECT_TRUE(follower_.complete());
 }
 
-TEST_F(KindFollowerTest, ChangesAreAppliedAndOlderOnesAreNot) {
+TEST_F(KindFollowerTest, NewerChangesAreAppliedAndOlderOnesAreIgnored) {
   List();
   follower_.NextCall(now_);
   EXPECT_TRUE(follower_.OnWatched(
@@ -298,22 +303,24 @@
   EXPECT_EQ(follower_.objects().at("a").item, 7);
 }
 
-// The store has dropped the changes since this host's copy. What was removed
-// meanwhile shows only in a new list.
-TEST_F(KindFollowerTest, LostHistoryIsMadeUpForByAList) {
+// The store no longer has the changes since this host's copy. Only a new list
+// shows which objects were deleted in the meantime.
+TEST_F(KindFollowerTest, ExpiredHistoryLeadsToANewList) {
   List();
   follower_.NextCall(now_);
   follower_.OnHistoryGone(now_);
-  EXPECT_EQ(follower_.objects().size(), 2U) << "used until the list is there";
+  EXPECT_EQ(follower_.objects().size(), 2U)
+      << "the copy is used until the list is complete";
   ASSERT_TRUE(follower_.NextCall(now_)->list);
   EXPECT_TRUE(follower_.OnListed(
       {.objects = {{"b", 20, 3}}, .more = false, .revision = 21}, now_));
   EXPECT_FALSE(follower_.objects().contains("a"));
 }
 
-// Another host vouched for the copy for half a minute. The store has dropped
-// the changes since this host's own call; a watch would only be told so.
-TEST_F(KindFollowerTest, CopyOlderThanTheHistoryIsListed) {
+// Another host has confirmed the copy for half a minute. The store no longer
+// has the changes since this host's own last call, so a watch would only report
+// that.
+TEST_F(KindFollowerTest, CopyOlderThanTheHistoryIsListedAgain) {
   List();
   follower_.Confirm(now_ + seconds{30}, now_ + seconds{31});
   const auto call = follower_.NextCall(now_ + seconds{31});
@@ -321,29 +328,28 @@
   EXPECT_TRUE(call->list);
 }
 
-// The store turns a host away for many seconds, and each refused call is paid
-// for. A leaving target must still be known within its time of grace after
-// that.
-TEST_F(KindFollowerTest, CallsGrowRareWhileTheStoreTurnsAHostAway) {
+// The store rejects a host for many seconds, and each rejected call is billed.
+// Afterwards, a draining target must still be discovered within its drain time.
+TEST_F(KindFollowerTest, CallsBackOffWhileTheStoreRejectsAHost) {
   List();
   const time_point until = now_ + seconds{8};
   int calls = 0;
-  duration longest{0};
+  duration max_pause{0};
   while (now_ < until) {
     if (follower_.NextCall(now_)) {
       ++calls;
       follower_.OnFailed(now_);
     }
-    longest = std::max(longest, follower_.NextDue() - now_);
+    max_pause = std::max(max_pause, follower_.NextDue() - now_);
     now_ = follower_.NextDue();
   }
-  EXPECT_LE(calls, 8) << "one a second";
-  EXPECT_LE(longest, milliseconds{1600}) << "0.8 of the least time of grace";
+  EXPECT_LE(calls, 8) << "one per second";
+  EXPECT_LE(max_pause, milliseconds{1600}) << "0.8 of the minimum drain time";
 }
 
-// The store is back for one kind. Waiting out the pause of each other kind
-// would leave this host with old owners of keys meanwhile.
-TEST_F(KindFollowerTest, FailedCallIsMadeAgainWhenAnotherIsAnswered) {
+// The store answers calls for one kind again. Waiting for the backoff of each
+// other kind would leave this host with outdated key owners.
+TEST_F(KindFollowerTest, FailedCallIsRetriedWhenAnotherIsAnswered) {
   List();
   for (int i = 0; i < 6; ++i) {
     now_ = follower_.NextDue();
@@ -355,19 +361,19 @@
   EXPECT_TRUE(follower_.NextCall(now_));
 }
 
-// Another host reads the store for this one. While it vouches for the copy no
-// call is made; when it falls silent, calls go on by themselves.
-TEST_F(KindFollowerTest, VouchedCopyMakesNoCalls) {
+// Another host reads the store on behalf of this one. While it confirms the
+// copy no call is made; when its confirmations stop, calls resume.
+TEST_F(KindFollowerTest, ConfirmedCopyMakesNoCalls) {
   List();
   follower_.Confirm(now_, now_ + milliseconds{900});
   EXPECT_FALSE(follower_.NextCall(now_ + milliseconds{800}));
   EXPECT_TRUE(follower_.NextCall(now_ + milliseconds{900}));
 }
 
-// This host begins to read the store for all others. A watch answers only when
-// something changes, or after a second; until then this host could vouch for
-// nothing, and all others would make their own calls.
-TEST_F(KindFollowerTest, ReadNowAsksForAnAnswerAtOnce) {
+// This host begins to read the store on behalf of all others. A watch returns
+// only when something changes, or after a second. Until then this host could
+// confirm nothing, and all others would make their own calls.
+TEST_F(KindFollowerTest, ReadNowRequestsAnImmediateResponse) {
   List();
   follower_.Confirm(now_, now_ + milliseconds{900});
   follower_.ReadNow(now_);
@@ -377,13 +383,14 @@
   EXPECT_EQ(call->wait, duration{0});
   follower_.OnWatched({.changes = {}, .revision = 11}, now_);
   now_ = follower_.NextDue();
-  const auto next = follower_.NextCall(now_);
-  ASSERT_TRUE(next);
-  EXPECT_GT(next->wait, duration{0});
+  const auto next_call = follower_.NextCall(now_);
+  ASSERT_TRUE(next_call);
+  EXPECT_GT(next_call->wait, duration{0});
 }
 
-// The word comes while a watch is under way. Its end must not start another.
-TEST_F(KindFollowerTest, VouchingDuringACallOutlastsIt) {
+// A confirmation arrives while a watch is in flight. The end of that watch must
+// not start another one.
+TEST_F(KindFollowerTest, ConfirmationDuringACallOutlastsTheCall) {
   List();
   ASSERT_TRUE(follower_.NextCall(now_));
   follower_.Confirm(now_, now_ + milliseconds{900});
@@ -391,26 +398,27 @@
   EXPECT_FALSE(follower_.NextCall(now_ + milliseconds{500}));
 }
 
-// The host that reads the store for all is cut off from it, but its heartbeats
-// still arrive, and vouch for a copy that grows older. A target that begins to
-// leave right after that copy was read must be known to the others before its
-// time of grace, two seconds, is over; else callers' requests still go to it.
-TEST_F(KindFollowerTest, CopyOfAHostThatLostTheStoreIsNotTrustedForLong) {
+// The host that reads the store on behalf of all is cut off from it, but its
+// heartbeats still arrive and confirm an ever older copy. The others must
+// discover a target that begins to drain right after that copy was read before
+// its drain time, two seconds, is over. Otherwise they would still send
+// requests to it.
+TEST_F(KindFollowerTest, ConfirmationsByAHostWithoutTheStoreExpire) {
   List();
-  const time_point read = now_;
+  const time_point read_at = now_;
   for (auto age = milliseconds{0}; age < seconds{4}; age += milliseconds{50}) {
     const store_view view{.config_revision = 1,
                           .age_ms = static_cast<uint32_t>(age.count())};
-    if (const auto until = VouchedUntil(view, seconds{2}, read + age)) {
-      follower_.Confirm(read, *until);
+    if (const auto until = VouchedUntil(view, seconds{2}, read_at + age)) {
+      follower_.Confirm(read_at, *until);
     }
   }
-  EXPECT_LE(follower_.NextDue(), read + milliseconds{1700});
-  EXPECT_GE(follower_.NextDue(), read + milliseconds{1200})
+  EXPECT_LE(follower_.NextDue(), read_at + milliseconds{1700});
+  EXPECT_GE(follower_.NextDue(), read_at + milliseconds{1200})
       << "a single lost heartbeat should cost no call";
 }
 
-TEST_F(KindFollowerTest, CopyThatGoesOnDifferingIsNotReadWithoutAPause) {
+TEST_F(KindFollowerTest, CopyThatKeepsDifferingIsListedWithAPause) {
   List();
   follower_.Refresh(now_, now_ + milliseconds{900});
   ASSERT_TRUE(follower_.NextCall(now_)->list);
@@ -421,7 +429,7 @@
   EXPECT_TRUE(follower_.NextCall(now_ + milliseconds{950}));
 }
 
-TEST_F(KindFollowerTest, CopyThatDiffersIsReadAgainOnce) {
+TEST_F(KindFollowerTest, CopyThatDiffersIsListedOnce) {
   List();
   follower_.Refresh(now_, now_ + milliseconds{900});
   ASSERT_TRUE(follower_.NextCall(now_)->list);
@@ -430,7 +438,7 @@
   EXPECT_FALSE(follower_.NextCall(now_ + milliseconds{500}));
 }
 
-TEST_F(KindFollowerTest, FailedCallsAreRepeatedWithAPause) {
+TEST_F(KindFollowerTest, FailedCallsAreRetriedWithAPause) {
   follower_.NextCall(now_);
   follower_.OnFailed(now_);
   EXPECT_FALSE(follower_.answers());
@@ -439,7 +447,7 @@
   EXPECT_TRUE(follower_.NextCall(now_));
 }
 
-TEST_F(KindFollowerTest, ObjectThatCannotBeReadCountsAsThereButSaysNothing) {
+TEST_F(KindFollowerTest, UnparsableObjectIsKeptWithoutContent) {
   follower_.NextCall(now_);
   follower_.OnListed(
       {.objects = {{"a", 4, std::nullopt}}, .more = false, .revision = 5},
