--- a/include/foxtailspread/host_messages.h
+++ b/include/foxtailspread/host_messages.h
@@ -2,8 +2,8 @@
 #define FOXTAILSPREAD_HOST_MESSAGES_H_
 
 /// @file
-/// Datagrams between hosts. All are hints: one that is lost is made up for by
-/// the next, and nothing that must hold depends on one arriving.
+/// Datagrams between hosts. All of them are hints: a later datagram makes up
+/// for a lost one, and no guarantee depends on a datagram's arrival.
 
 #include <cstdint>
 #include <optional>
@@ -22,7 +22,8 @@
 
 namespace foxtailspread {
 
-/// Requests by key; keys without any are left out.
+/// One service's requests by key, as (key, count) pairs. Keys without requests
+/// are left out.
 struct service_load {
   std::string service;
   std::vector<std::pair<uint32_t, uint32_t>> keys;
@@ -30,150 +31,156 @@
   bool operator==(const service_load&) const = default;
 };
 
-/// What a target's requests told one host.
+/// Latency of a target as one host measured it.
 struct target_latency {
   std::string target;
-  uint32_t latency_us = 0;  ///< Mean time to an answer.
-  uint32_t served = 0;      ///< Requests that it is the mean of.
+  uint32_t latency_us = 0;  ///< Mean time to a response.
+  uint32_t served = 0;      ///< Number of requests in the mean.
 
   bool operator==(const target_latency&) const = default;
 };
 
-/// What a host tells the assigner of keys again and again: that it is there,
-/// what it knows, which keys were asked for and how fast their owners were.
+/// Periodic report of a host to the key assigner: that it is alive, which lease
+/// record it has read, how many requests each key got and how fast the targets
+/// answered.
 struct load_report {
   std::string host;
   std::string zone;
-  std::string address;     ///< Where it takes datagrams.
-  double link_mbps = 0.0;  ///< What its link carries; 0 if not known.
-  /// The newest record of the assigner's lease that it has read.
+  std::string address;     ///< Where it receives datagrams.
+  double link_mbps = 0.0;  ///< Capacity of its network link; 0 if unknown.
+  /// Revision of the newest assigner lease record that it has read.
   uint64_t lease_revision = 0;
   std::vector<service_load> services;
   std::vector<target_latency> targets;
-  /// Contents that it saw crash targets since its last report.
+  /// Request contents that it has seen crash targets since its last report.
   std::vector<poison_mark> crashes{};
 
   bool operator==(const load_report&) const = default;
 };
 
-/// What a host's copy of the store amounts to, for comparison with another's.
+/// Summary of a host's copy of the store, for comparison with another host's.
 struct store_view {
   uint64_t config_revision = 0;
-  uint64_t targets = 0;  ///< Digest of what matters of the targets' entries.
-  uint64_t owners = 0;   ///< Digest of the records of keys and of the lease.
-  uint32_t age_ms = 0;   ///< The copy holds all that the store had by then.
+  uint64_t targets = 0;  ///< Digest of the targets' entries, see DigestOf.
+  uint64_t owners = 0;   ///< Digest of the key owner records and the lease.
+  uint32_t age_ms = 0;   ///< Time since the copy was known to be current.
 
   bool operator==(const store_view&) const = default;
 };
 
-/// Until when a view that arrived at `now` spares a host its own calls; nothing
-/// if it is too old to vouch for anything. `drain` is how long a leaving target
-/// may still get requests after its word.
+/// Returns until when a host whose copy matches `view`, received at `now`,
+/// needs no store calls of its own; nothing if the view is too old for that.
+/// `drain_time` is how long a target that has announced that it is draining may
+/// still get requests.
 std::optional<time_point> VouchedUntil(const store_view& view, duration drain,
                                        time_point now);
 
-/// The assigner's sign of life. It reads the store for all hosts: those whose
-/// copies are the same need not ask. Each call of the store is paid for, and a
-/// thousand hosts that watch it would be its main load.
+/// Heartbeat of the key assigner, which reads the store on behalf of all hosts:
+/// a host whose copy matches its view makes no store calls. Store calls are
+/// billed, and watches by a thousand hosts would be most of the store's load.
 struct assigner_heartbeat {
   std::string host;
   uint64_t lease_revision = 0;
-  std::vector<std::string> successors;  ///< The first in line first.
-  std::optional<store_view> view{};     ///< Absent if it is not up to date.
-  std::vector<poison_mark> crashes{};   ///< Contents that crash targets.
-  /// Hosts that share what all of them may use together: the lease names their
-  /// number too, but is not read again while heartbeats come.
+  std::vector<std::string> successors;  ///< In order of succession.
+  std::optional<store_view> view{};     ///< Absent if its copy is outdated.
+  std::vector<poison_mark> crashes{};  ///< Request contents that crash targets.
+  /// Number of hosts that share the limits for all hosts together. The lease
+  /// holds this number as well, but hosts do not read it while heartbeats
+  /// arrive.
   size_t hosts = 1;
-  /// Absent if the holder has not read them.
+  /// Absent if the lease holder has not read the evacuated zones.
   std::optional<evacuation_view> evacuated{};
 
   bool operator==(const assigner_heartbeat&) const = default;
 };
 
-/// What changed in a record of keys, sent by the host that wrote it to the
-/// store, to spare the others a call. One that is lost shows in the next
-/// heartbeat. Whole records would fill the links of small hosts: 20 KB each to
-/// a hundred hosts with each change.
+/// Changes to one service's key owner record, sent by the host that wrote the
+/// record to the store so that the others need no call. A receiver detects a
+/// lost one by the next heartbeat. Only changes are sent since whole records,
+/// 20 KB to a hundred hosts on each change, would saturate the links of small
+/// hosts.
 struct owners_record {
   std::string service;
-  uint64_t base = 0;      ///< The revision that the changes are to; 0 for none.
-  uint64_t revision = 0;  ///< Of the record in the store.
-  std::string content;    ///< As FormatKeyMap wrote it.
+  uint64_t base = 0;      ///< The changes apply to this; 0 for none.
+  uint64_t revision = 0;  ///< Of the changed record in the store.
+  std::string content;    ///< As formatted by FormatKeyMap.
 
   bool operator==(const owners_record&) const = default;
 };
 
-/// One target's entry that changed in the store's list.
+/// A changed entry of the store's list of targets.
 struct shared_entry {
   std::string name;
   uint64_t revision = 0;  ///< Of the entry in the store.
   bool deleted = false;
-  /// Absent if the entry was deleted or cannot be read.
+  /// Absent if the entry was deleted or cannot be parsed.
   std::optional<target_entry> entry{};
 
   bool operator==(const shared_entry&) const = default;
 };
 
-/// What changed in the list of targets, sent by the host that reads the store
-/// for all: each host listing them again would cost a call a host and, at a
-/// thousand targets, a megabyte. A host whose copy is another one than `before`
-/// leaves it aside and finds out by the next heartbeat.
+/// Changes to the list of targets, sent by the host that reads the store on
+/// behalf of all. Listing the targets again would cost each host a call and, at
+/// a thousand targets, a megabyte. A host whose copy does not have the digest
+/// `base_digest` ignores the message and detects the difference by the next
+/// heartbeat.
 struct targets_record {
-  uint64_t before = 0;  ///< Digest of the list that the changes are to.
-  uint32_t age_ms = 0;  ///< Of the copy with the changes.
+  uint64_t before = 0;  ///< Of the list that the changes apply to.
+  uint32_t age_ms = 0;  ///< Age of the sender's copy with the changes.
   std::vector<shared_entry> changes;
 
   bool operator==(const targets_record&) const = default;
 };
 
-/// What an object of the store says of.
+/// Kinds of store objects that hosts send to each other.
 enum class shared_kind : uint8_t {
   kDeclarations,  ///< The operator's desired configuration.
-  kOwn,           ///< An object of the system's own.
+  kOwn,           ///< An object that the hosts maintain themselves.
 };
 
-/// An object that its sender wrote to the store or read there a moment ago, to
-/// spare all others a call.
+/// An object that the sender has just written to the store or read from it,
+/// sent so that the other hosts need no call.
 struct shared_object {
   shared_kind kind = shared_kind::kOwn;
   std::string name;
   uint64_t revision = 0;  ///< Of the object in the store.
-  std::string content;    ///< JSON, as the store has it.
+  std::string content;    ///< JSON, as in the store.
 
   bool operator==(const shared_object&) const = default;
 };
 
-/// One host, as others reach it.
+/// How to reach one host.
 struct host_contact {
   std::string name;
   std::string zone;
-  std::string address;     ///< Where it takes datagrams.
-  double link_mbps = 0.0;  ///< What its link carries; 0 if not known.
+  std::string address;     ///< Where it receives datagrams.
+  double link_mbps = 0.0;  ///< Capacity of its network link; 0 if unknown.
 
   bool operator==(const host_contact&) const = default;
 };
 
-/// The hosts that report to the holder of the lease. Its successors need them:
-/// one that knows no host is silent until all of them have read in the store
-/// who holds the lease now.
+/// The hosts that report to the lease holder, sent to its successors. A new
+/// holder that knows no hosts cannot send anything until each of them has read
+/// from the store who holds the lease.
 struct hosts_record {
   std::vector<host_contact> hosts;
 
   bool operator==(const hosts_record&) const = default;
 };
 
-/// Loads that targets told: to the holder of the lease what one host heard,
-/// from it what all hosts did.
+/// Loads that targets have reported: from a host to the lease holder those that
+/// this host has received, from the lease holder those of all hosts.
 struct loads_record {
   std::vector<load_sample> loads;
 
   bool operator==(const loads_record&) const = default;
 };
 
-/// A datagram that its receiver takes and passes on to other hosts of its zone.
+/// A datagram that its receiver handles and forwards to other hosts of its
+/// zone.
 struct relayed_message {
   std::vector<std::string> forward_to;
-  std::string payload;  ///< A message as FormatHostMessage wrote it.
+  std::string payload;  ///< As formatted by FormatHostMessage.
 
   bool operator==(const relayed_message&) const = default;
 };
@@ -182,7 +189,7 @@
     std::variant<load_report, assigner_heartbeat, owners_record, targets_record,
                  shared_object, hosts_record, loads_record, relayed_message>;
 
-/// Writes a message as one datagram and reads it back.
+/// Serialises a message as one datagram, and parses it.
 std::string FormatHostMessage(const host_message& message);
 result<host_message> ParseHostMessage(std::string_view bytes);
 
--- a/src/core/host_messages.cc
+++ b/src/core/host_messages.cc
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-/// The first element of each message.
+/// Tags: the first element of each message.
 constexpr std::string_view kReportTag = "load";
 constexpr std::string_view kHeartbeatTag = "heartbeat";
 constexpr std::string_view kOwnersTag = "keys";
@@ -19,35 +19,35 @@
 constexpr std::string_view kRelayedTag = "relay";
 
 constexpr double kPercent = 100.0;
-/// Figures of one load_sample.
-constexpr size_t kSampleFigures = 7;
+/// Number of array elements that encode one load_sample.
+constexpr size_t kSampleFields = 7;
 
-/// How long after a view was read it spares others their calls, as a part of
-/// the time that a leaving target goes on taking requests (2 s). Watches are
-/// renewed within a second, so two heartbeats may be lost; what changed right
-/// after the view was read is still known everywhere in time.
-constexpr double kVouchedPart = 0.8;
+/// How long a store view is valid after it was read, as a fraction of the time
+/// that a draining target still accepts requests (2 s). Watches are renewed
+/// within a second, so two heartbeats may be lost, and a change made right
+/// after the view was read is still known to all hosts in time.
+constexpr double kViewValidFraction = 0.8;
 
-/// Contents that crash targets, as hash, crashes and age in milliseconds.
+/// Each mark as content hash, number of crashes and age in milliseconds.
 json ToJson(const std::vector<poison_mark>& marks) {
-  json list = json::array();
-  for (const poison_mark& each : marks) {
-    list.push_back({each.content_hash, each.crashes, each.age.count() / 1000});
+  json array = json::array();
+  for (const poison_mark& mark : marks) {
+    array.push_back({mark.content_hash, mark.crashes, mark.age.count() / 1000});
   }
-  return list;
+  return array;
 }
 
-/// The figures of each sample, one after the other; the slowness in percent.
+/// The fields of all samples in one flat array; the slowness in percent.
 json ToJson(const std::vector<load_sample>& loads) {
   json flat = json::array();
-  for (const load_sample& each : loads) {
-    flat.push_back(each.target);
-    flat.push_back(each.load.running);
-    flat.push_back(each.load.waiting);
-    flat.push_back(std::lround(each.load.slowness * kPercent));
-    flat.push_back(each.age_ms);
-    flat.push_back(each.latency_us);
-    flat.push_back(each.served);
+  for (const load_sample& sample : loads) {
+    flat.push_back(sample.target);
+    flat.push_back(sample.load.running);
+    flat.push_back(sample.load.waiting);
+    flat.push_back(std::lround(sample.load.slowness * kPercent));
+    flat.push_back(sample.age_ms);
+    flat.push_back(sample.latency_us);
+    flat.push_back(sample.served);
   }
   return flat;
 }
@@ -58,17 +58,17 @@
 
 json ToJson(const load_report& report) {
   json services = json::array();
-  for (const service_load& each : report.services) {
+  for (const service_load& load : report.services) {
     json flat = json::array();
-    for (const auto& [key, count] : each.keys) {
+    for (const auto& [key, count] : load.keys) {
       flat.push_back(key);
       flat.push_back(count);
     }
-    services.push_back({each.service, std::move(flat)});
+    services.push_back({load.service, std::move(flat)});
   }
   json targets = json::array();
-  for (const target_latency& each : report.targets) {
-    targets.push_back({each.target, each.latency_us, each.served});
+  for (const target_latency& latency : report.targets) {
+    targets.push_back({latency.target, latency.latency_us, latency.served});
   }
   return json::array({kReportTag, report.host, report.zone, report.address,
                       report.lease_revision, std::move(services),
@@ -95,23 +95,23 @@
 }
 
 json ToJson(const owners_record& record) {
-  // Packed as a value it takes half the bytes of its text.
+  // MessagePack takes half the bytes of the JSON text.
   return json::array({kOwnersTag, record.service, record.base, record.revision,
                       json::parse(record.content, nullptr, false)});
 }
 
 json ToJson(const targets_record& record) {
   json changes = json::array();
-  for (const shared_entry& each : record.changes) {
-    json one = {each.name, each.revision, each.deleted};
-    if (each.entry) {
-      const target_entry& entry = *each.entry;
-      one.insert(one.end(),
-                 {entry.life.id, entry.life.started, entry.service,
-                  entry.address, entry.zone, entry.slots, entry.draining,
-                  entry.warm_up.count() / 1000, entry.sequence});
+  for (const shared_entry& change : record.changes) {
+    json fields = {change.name, change.revision, change.deleted};
+    if (change.entry) {
+      const target_entry& entry = *change.entry;
+      fields.insert(fields.end(),
+                    {entry.life.id, entry.life.started, entry.service,
+                     entry.address, entry.zone, entry.slots, entry.draining,
+                     entry.warm_up.count() / 1000, entry.sequence});
     }
-    changes.push_back(std::move(one));
+    changes.push_back(std::move(fields));
   }
   return json::array(
       {kTargetsTag, record.before, record.age_ms, std::move(changes)});
@@ -125,8 +125,8 @@
 
 json ToJson(const hosts_record& record) {
   json hosts = json::array();
-  for (const host_contact& each : record.hosts) {
-    hosts.push_back({each.name, each.zone, each.address, each.link_mbps});
+  for (const host_contact& host : record.hosts) {
+    hosts.push_back({host.name, host.zone, host.address, host.link_mbps});
   }
   return json::array({kHostsTag, std::move(hosts)});
 }
@@ -138,23 +138,23 @@
        json::binary(std::vector<uint8_t>(payload.begin(), payload.end()))});
 }
 
-// The readers use the checked accessors of the JSON library, whose exceptions
-// ParseHostMessage turns into an error.
+// The Read functions use the checked accessors of the JSON library, which throw
+// on malformed input. ParseHostMessage turns the exception into an error.
 
-std::vector<poison_mark> ReadMarks(const json& list) {
+std::vector<poison_mark> ReadMarks(const json& array) {
   std::vector<poison_mark> marks;
-  for (const json& each : list) {
+  for (const json& mark : array) {
     marks.push_back(
-        {.content_hash = each.at(0).get<uint64_t>(),
-         .crashes = each.at(1).get<int>(),
-         .age = std::chrono::milliseconds{each.at(2).get<int64_t>()}});
+        {.content_hash = mark.at(0).get<uint64_t>(),
+         .crashes = mark.at(1).get<int>(),
+         .age = std::chrono::milliseconds{mark.at(2).get<int64_t>()}});
   }
   return marks;
 }
 
 std::vector<load_sample> ReadLoads(const json& flat) {
   std::vector<load_sample> loads;
-  for (size_t i = 0; i + kSampleFigures <= flat.size(); i += kSampleFigures) {
+  for (size_t i = 0; i + kSampleFields <= flat.size(); i += kSampleFields) {
     loads.push_back({.target = flat.at(i).get<uint32_t>(),
                      .load = {.running = flat.at(i + 1).get<int>(),
                               .waiting = flat.at(i + 2).get<int>(),
@@ -172,19 +172,19 @@
   report.zone = value.at(2).get<std::string>();
   report.address = value.at(3).get<std::string>();
   report.lease_revision = value.at(4).get<uint64_t>();
-  for (const json& one : value.at(5)) {
+  for (const json& service : value.at(5)) {
     service_load& load = report.services.emplace_back();
-    load.service = one.at(0).get<std::string>();
-    const json& flat = one.at(1);
+    load.service = service.at(0).get<std::string>();
+    const json& flat = service.at(1);
     for (size_t i = 0; i + 1 < flat.size(); i += 2) {
       load.keys.emplace_back(flat.at(i).get<uint32_t>(),
                              flat.at(i + 1).get<uint32_t>());
     }
   }
-  for (const json& one : value.at(6)) {
-    report.targets.push_back({.target = one.at(0).get<std::string>(),
-                              .latency_us = one.at(1).get<uint32_t>(),
-                              .served = one.at(2).get<uint32_t>()});
+  for (const json& target : value.at(6)) {
+    report.targets.push_back({.target = target.at(0).get<std::string>(),
+                              .latency_us = target.at(1).get<uint32_t>(),
+                              .served = target.at(2).get<uint32_t>()});
   }
   report.crashes = ReadMarks(value.at(7));
   report.link_mbps = value.at(8).get<double>();
@@ -222,12 +222,12 @@
 }
 
 shared_entry ReadSharedEntry(const json& value) {
-  constexpr size_t kWithoutEntry = 3;
-  shared_entry read{.name = value.at(0).get<std::string>(),
-                    .revision = value.at(1).get<uint64_t>(),
-                    .deleted = value.at(2).get<bool>()};
-  if (value.size() > kWithoutEntry) {
-    read.entry = target_entry{
+  constexpr size_t kFieldsWithoutEntry = 3;
+  shared_entry shared{.name = value.at(0).get<std::string>(),
+                      .revision = value.at(1).get<uint64_t>(),
+                      .deleted = value.at(2).get<bool>()};
+  if (value.size() > kFieldsWithoutEntry) {
+    shared.entry = target_entry{
         .life = {.id = value.at(3).get<std::string>(),
                  .started = value.at(4).get<uint64_t>()},
         .service = value.at(5).get<std::string>(),
@@ -238,15 +238,15 @@
         .warm_up = std::chrono::milliseconds{value.at(10).get<int64_t>()},
         .sequence = value.at(11).get<uint64_t>()};
   }
-  return read;
+  return shared;
 }
 
 targets_record ReadTargets(const json& value) {
   targets_record record{.before = value.at(1).get<uint64_t>(),
                         .age_ms = value.at(2).get<uint32_t>(),
                         .changes = {}};
-  for (const json& each : value.at(3)) {
-    record.changes.push_back(ReadSharedEntry(each));
+  for (const json& change : value.at(3)) {
+    record.changes.push_back(ReadSharedEntry(change));
   }
   return record;
 }
@@ -262,11 +262,11 @@
 
 hosts_record ReadHosts(const json& value) {
   hosts_record record;
-  for (const json& each : value.at(1)) {
-    record.hosts.push_back({.name = each.at(0).get<std::string>(),
-                            .zone = each.at(1).get<std::string>(),
-                            .address = each.at(2).get<std::string>(),
-                            .link_mbps = each.at(3).get<double>()});
+  for (const json& host : value.at(1)) {
+    record.hosts.push_back({.name = host.at(0).get<std::string>(),
+                            .zone = host.at(1).get<std::string>(),
+                            .address = host.at(2).get<std::string>(),
+                            .link_mbps = host.at(3).get<double>()});
   }
   return record;
 }
@@ -277,16 +277,16 @@
           .payload = std::string(payload.begin(), payload.end())};
 }
 
-error Malformed() {
-  return error{error_code::kMalformed, "", "is not a message of a host",
-               "run one release on all hosts"};
+error MalformedMessage() {
+  return error{error_code::kMalformed, "", "is not a valid host message",
+               "run the same release on all hosts"};
 }
 
 }  // namespace
 
 std::string FormatHostMessage(const host_message& message) {
   const json value =
-      std::visit([](const auto& each) { return ToJson(each); }, message);
+      std::visit([](const auto& content) { return ToJson(content); }, message);
   const std::vector<uint8_t> packed = json::to_msgpack(value);
   return {packed.begin(), packed.end()};
 }
@@ -321,15 +321,15 @@
       return host_message{ReadRelayed(value)};
     }
   } catch (const json::exception&) {
-    return Malformed();
+    return MalformedMessage();
   }
-  return Malformed();
+  return MalformedMessage();
 }
 
 std::optional<time_point> VouchedUntil(const store_view& view, duration drain,
                                        time_point now) {
-  const time_point read = now - std::chrono::milliseconds{view.age_ms};
-  const time_point until = read + Part(drain, kVouchedPart);
+  const time_point read_at = now - std::chrono::milliseconds{view.age_ms};
+  const time_point until = read_at + Part(drain, kViewValidFraction);
   return until > now ? std::optional{until} : std::nullopt;
 }
 
