--- a/include/foxtailspread/evacuations.h
+++ b/include/foxtailspread/evacuations.h
@@ -2,7 +2,8 @@
 #define FOXTAILSPREAD_EVACUATIONS_H_
 
 /// @file
-/// Which availability zones are evacuated: nothing new goes to their targets.
+/// Which availability zones are evacuated. Targets in an evacuated zone get no
+/// new requests.
 
 #include <cstdint>
 #include <set>
@@ -12,23 +13,24 @@
 
 namespace foxtailspread {
 
-/// Evacuated zones, as the holder of the lease tells them to all hosts.
+/// The evacuated zones, as the lease holder announces them to all hosts.
 struct evacuation_view {
   std::set<std::string> zones;
-  uint32_t age_ms = 0;  ///< These were all when they were read.
+  uint32_t age_ms = 0;  ///< Time since `zones` was read, in ms.
 
   bool operator==(const evacuation_view&) const = default;
 };
 
-/// Keeps the newest of what the store and other hosts said.
+/// Keeps the most recent set of evacuated zones reported by the store or by
+/// other hosts.
 ///
 /// @code
-/// if (evacuations.Take(zones, as_of)) Tell(evacuations.zones());
+/// if (evacuations.Update(zones, as_of)) Announce(evacuations.zones());
 /// @endcode
 class evacuations {
  public:
-  /// Takes the zones that were evacuated at `as_of`; older ones than are known
-  /// are left aside. Returns whether the zones changed.
+  /// Sets the zones that were evacuated at `as_of`. Ignores a set that is older
+  /// than the current one. Returns whether the zones changed.
   bool Take(std::set<std::string> zones, time_point as_of);
 
   const std::set<std::string>& zones() const { return zones_; }
--- a/include/foxtailspread/zone_fanout.h
+++ b/include/foxtailspread/zone_fanout.h
@@ -2,13 +2,13 @@
 #define FOXTAILSPREAD_ZONE_FANOUT_H_
 
 /// @file
-/// How one host's datagram reaches all others.
+/// Distribution of one host's datagrams to all other hosts.
 ///
-/// Load pattern: the holder of the lease tells hundreds of hosts of each
-/// change, many times a second while keys move. Sent to each of them, a change
-/// of 2 KB fills the holder's link and crosses the zones once for each host;
-/// sent to one host of each other zone, which passes it on, it crosses them
-/// once.
+/// Load pattern: the lease holder announces each change to hundreds of hosts,
+/// many times a second while keys move. Sent to each host directly, a change of
+/// 2 KB saturates the holder's link and crosses zone boundaries once per host.
+/// Sent to one relay in each other zone, which forwards it, it crosses once per
+/// zone.
 
 #include <cstdint>
 #include <span>
@@ -18,18 +18,20 @@
 
 namespace foxtailspread {
 
-/// A host that is to get a datagram.
+/// A host that a datagram is to reach.
 struct fanout_host {
   std::string_view zone;
-  std::string_view address;  ///< Where it takes datagrams.
-  double link_mbps = 0.0;    ///< What its link carries; 0 if not known.
-  /// Heard of a moment ago, so that it may be trusted to pass datagrams on.
+  std::string_view address;  ///< Where it receives datagrams.
+  double link_mbps = 0.0;    ///< Capacity of its link; 0 if unknown.
+  /// Whether it may forward datagrams: it has reported recently, so it is
+  /// probably alive.
   bool may_relay = true;
-  /// Gets the datagram from the sender itself, whatever becomes of relays.
+  /// Whether the sender sends to it directly, so that no lost relay affects it.
   bool direct = false;
 };
 
-/// The first receiver of a datagram, and those to whom it passes it on.
+/// One datagram of the sender: its receiver, and the hosts that the receiver
+/// forwards it to.
 struct fanout_hop {
   std::string address;
   std::vector<std::string> forward_to{};
@@ -37,8 +39,10 @@
   bool operator==(const fanout_hop&) const = default;
 };
 
-/// Plans how a datagram reaches all `hosts`. Relays take turns by `turn`, so
-/// that one that is lost costs its zone a part of the datagrams only.
+/// Plans how a datagram reaches all `hosts`. `rotation` selects the relay of
+/// each zone. Callers increase it over time, so that a failed relay loses only
+/// a fraction of its zone's datagrams. Datagrams with the same `rotation` take
+/// the same path.
 std::vector<fanout_hop> PlanFanout(std::span<const fanout_host> hosts,
                                    std::string_view own_zone, uint64_t turn);
 
--- a/tests/evacuation_test.cc
+++ b/tests/evacuation_test.cc
@@ -1,5 +1,5 @@
-// Requests while an availability zone is evacuated, and while its targets are
-// cold afterwards.
+// Request routing while an availability zone is evacuated, and while its
+// targets are still cold after the evacuation.
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
 
 constexpr duration kColdTime{seconds{3}};
 
-/// Two targets a service in each of two zones.
+/// A pooled and a keyed service with two targets each in each of two zones.
 class EvacuationTest : public ::testing::Test {
  protected:
   EvacuationTest() : router_({.zone = "here", .retries = {}, .seed = 3}) {
@@ -29,14 +29,14 @@
       service.cold_time = kColdTime;
       service.cold_rate = 5.0;
       config_.services.push_back(service);
-      route added;
-      added.name = service.name;
-      added.host = "shop.example";
-      added.prefix = "/" + service.name + "/";
-      added.objective = milliseconds{400};
-      added.timeout = seconds{2};
-      added.services = {{.service = service.name}};
-      config_.routes.push_back(added);
+      route service_route;
+      service_route.name = service.name;
+      service_route.host = "shop.example";
+      service_route.prefix = "/" + service.name + "/";
+      service_route.objective = milliseconds{400};
+      service_route.timeout = seconds{2};
+      service_route.services = {{.service = service.name}};
+      config_.routes.push_back(service_route);
       for (const std::string zone : {"here", "there"}) {
         AddTarget(service.name, zone, "1");
         AddTarget(service.name, zone, "2");
@@ -44,8 +44,8 @@
     }
     router_actions ignored;
     router_.OnConfig(route_table_ptr{new route_table(config_)}, now_, ignored);
-    List();
-    Own("keyed-there-1");
+    UpdateTargets();
+    AssignAllKeys("keyed-there-1");
   }
 
   void AddTarget(const std::string& service, const std::string& zone,
@@ -59,12 +59,12 @@
     targets_.push_back(entry);
   }
 
-  void List() {
+  void UpdateTargets() {
     router_actions ignored;
     router_.OnTargets(targets_, false, now_, now_, ignored);
   }
 
-  void Own(const std::string& id) {
+  void AssignAllKeys(const std::string& id) {
     key_map map{.last_fence = 1, .ranges = {}};
     map.ranges = {
         {.owner = {.id = id, .started = 1}, .fence = 1, .granted = true}};
@@ -77,8 +77,8 @@
     router_.OnEvacuations(zones, now_, ignored);
   }
 
-  /// Sends a request in and returns what the router did at once.
-  router_actions Ask(const std::string& service) {
+  /// Passes a request to the router and returns its immediate actions.
+  router_actions SendRequest(const std::string& service) {
     router_actions actions;
     const std::string path = "/" + service + "/7";
     router_.OnRequest({.id = ++last_id_,
@@ -91,25 +91,25 @@
   }
 
   own_answer_action Refusal(const std::string& service) {
-    return std::get<own_answer_action>(Ask(service).at(0));
+    return std::get<own_answer_action>(SendRequest(service).at(0));
   }
 
-  /// The targets that get requests while any has room.
-  std::set<std::string> TargetsAsked(const std::string& service) {
-    std::set<std::string> asked;
+  /// Returns the targets that get requests until all slots are in use.
+  std::set<std::string> TargetsReached(const std::string& service) {
+    std::set<std::string> reached;
     const request_id first = last_id_ + 1;
     while (true) {
-      const router_actions actions = Ask(service);
+      const router_actions actions = SendRequest(service);
       if (actions.empty() || !std::holds_alternative<send_action>(actions[0])) {
         break;
       }
-      asked.insert(std::get<send_action>(actions[0]).target.id);
+      reached.insert(std::get<send_action>(actions[0]).target.id);
     }
     router_actions ignored;
     for (request_id id = last_id_; id >= first; --id) {
       router_.OnCallerGone(id, now_, ignored);
     }
-    return asked;
+    return reached;
   }
 
   request_router router_;
@@ -119,75 +119,75 @@
   time_point now_{seconds{100}};
 };
 
-// Guards against work that goes on reaching a zone that is to be switched off.
+// Guards against requests to a zone that is about to be switched off.
 TEST_F(EvacuationTest, EvacuatedZoneGetsNoPooledRequests) {
   Evacuate({"here"});
   const std::set<std::string> others{"pooled-there-1", "pooled-there-2"};
-  EXPECT_EQ(TargetsAsked("pooled"), others);
+  EXPECT_EQ(TargetsReached("pooled"), others);
 }
 
-// Guards against keyed requests that stop before their keys have moved, and
-// against those that go on for too long.
-TEST_F(EvacuationTest, OwnerInEvacuatedZoneIsUsedForAMoment) {
+// Guards against cutting off keyed requests before their keys have moved, and
+// against sending them to the evacuated zone for too long.
+TEST_F(EvacuationTest, OwnerInEvacuatedZoneGetsRequestsBriefly) {
   Evacuate({"there"});
   now_ += milliseconds{900};
-  EXPECT_EQ(TargetsAsked("keyed").size(), 1U);
+  EXPECT_EQ(TargetsReached("keyed").size(), 1U);
   now_ += milliseconds{200};
-  EXPECT_TRUE(TargetsAsked("keyed").empty());
+  EXPECT_TRUE(TargetsReached("keyed").empty());
 }
 
-// Guards against full load on targets that were started anew while their zone
-// was evacuated.
+// Guards against full load on targets that were restarted while their zone was
+// evacuated.
 TEST_F(EvacuationTest, ReturnedZoneGetsRequestsWhenItsTargetsAreWarm) {
   Evacuate({"here"});
   now_ += seconds{8};
   Evacuate({});
-  EXPECT_EQ(TargetsAsked("pooled").size(), 2U);
+  EXPECT_EQ(TargetsReached("pooled").size(), 2U);
   now_ += kColdTime;
-  EXPECT_EQ(TargetsAsked("pooled").size(), 4U);
+  EXPECT_EQ(TargetsReached("pooled").size(), 4U);
 }
 
 // Guards against full load on a target that has just started.
 TEST_F(EvacuationTest, AddedTargetGetsRequestsWhenItIsWarm) {
   AddTarget("pooled", "here", "3");
   targets_.back().warm_up = kColdTime;
-  List();
-  EXPECT_FALSE(TargetsAsked("pooled").contains("pooled-here-3"));
+  UpdateTargets();
+  EXPECT_FALSE(TargetsReached("pooled").contains("pooled-here-3"));
   now_ += kColdTime;
-  EXPECT_TRUE(TargetsAsked("pooled").contains("pooled-here-3"));
+  EXPECT_TRUE(TargetsReached("pooled").contains("pooled-here-3"));
 }
 
-// Guards against a target that turns cold without a new start.
-TEST_F(EvacuationTest, TargetThatTurnsColdGetsNoRequests) {
+// Guards against requests to a target that becomes cold without a restart.
+TEST_F(EvacuationTest, TargetThatBecomesColdGetsNoRequests) {
   targets_[0].warm_up = kColdTime;
-  List();
-  EXPECT_FALSE(TargetsAsked("pooled").contains(targets_[0].life.id));
+  UpdateTargets();
+  EXPECT_FALSE(TargetsReached("pooled").contains(targets_[0].life.id));
 }
 
-// Guards against callers that are held, or told to come back too early, while
-// no target is warm.
-TEST_F(EvacuationTest, OnlyColdTargetsRefuseUntilTheFirstIsWarm) {
+// Guards against delaying callers, or sending them too short a Retry-After,
+// while no target is warm.
+TEST_F(EvacuationTest, RequestsAreRefusedWhileAllTargetsAreCold) {
   Evacuate({"here", "there"});
   EXPECT_EQ(Refusal("pooled").reason, refusal_reason::kNoTarget);
   now_ += seconds{8};
   Evacuate({});
-  const own_answer_action refused = Refusal("pooled");
-  EXPECT_EQ(refused.reason, refusal_reason::kNoWarmTarget);
-  EXPECT_EQ(refused.answer, own_answer::kNotRun);
-  ASSERT_TRUE(refused.retry_after);
-  EXPECT_GE(*refused.retry_after, kColdTime / 2);
+  const own_answer_action refusal = Refusal("pooled");
+  EXPECT_EQ(refusal.reason, refusal_reason::kNoWarmTarget);
+  EXPECT_EQ(refusal.answer, own_answer::kNotRun);
+  ASSERT_TRUE(refusal.retry_after);
+  EXPECT_GE(*refusal.retry_after, kColdTime / 2);
   EXPECT_EQ(Refusal("keyed").reason, refusal_reason::kNoWarmTarget);
 }
 
-// Guards against an older reading that takes the place of a newer one.
-TEST(EvacuationsTest, OlderReadingIsLeftAside) {
-  evacuations known;
+// Guards against an older set of zones replacing a newer one.
+TEST(EvacuationsTest, OlderSetIsIgnored) {
+  evacuations evacuated;
   const time_point now{seconds{100}};
-  EXPECT_TRUE(known.Take({"here"}, now));
-  EXPECT_FALSE(known.Take({}, now - milliseconds{1}));
-  EXPECT_EQ(known.zones(), std::set<std::string>{"here"});
-  EXPECT_FALSE(known.Take({"here"}, now + milliseconds{1}));
-  EXPECT_TRUE(known.Take({}, now + milliseconds{2}));
+  EXPECT_TRUE(evacuated.Take({"here"}, now));
+  EXPECT_FALSE(evacuated.Take({}, now - milliseconds{1}));
+  EXPECT_EQ(evacuated.zones(), std::set<std::string>{"here"});
+  EXPECT_FALSE(evacuated.Take({"here"}, now + milliseconds{1}));
+  EXPECT_TRUE(evacuated.Take({}, now + milliseconds{2}));
 }
 
 }  // namespace
