--- a/include/foxtailspread/request_router.h
+++ b/include/foxtailspread/request_router.h
@@ -2,10 +2,10 @@
 #define FOXTAILSPREAD_REQUEST_ROUTER_H_
 
 /// @file
-/// Decides for each request of a caller where it is sent, how long it waits,
-/// when it is sent again and what is said when it cannot be served.
+/// Routing, queueing and retry decisions for the requests of callers.
 ///
-/// Events and the time go in, actions come out. One router serves one host.
+/// The router does no I/O and reads no clock: it is given events and the
+/// current time and returns actions to carry out. Each host has one router.
 
 #include <boost/intrusive/list.hpp>
 #include <boost/smart_ptr/intrusive_ptr.hpp>
@@ -35,18 +35,18 @@
 
 namespace foxtailspread {
 
-/// Names one request on this host.
+/// Identifies one request on this host.
 using request_id = uint64_t;
 
-/// What the router needs to know of a request. The views need only live
-/// through the call.
+/// A caller's request as passed to OnRequest(). The string views need to be
+/// valid during the call only.
 struct incoming_request {
   request_id id = 0;
   std::string_view host{};
   std::string_view path{};
   std::optional<key_point> key{};
-  std::optional<duration> patience{};  ///< How long the caller will wait.
-  uint64_t content = 0;  ///< The same for requests of the same content.
+  std::optional<duration> patience{};  ///< How long the caller waits.
+  uint64_t content = 0;  ///< Hash of the request's content; 0 for none.
 };
 
 /// Sends a request to a target.
@@ -54,18 +54,19 @@
   request_id id = 0;
   target_life target{};
   std::string address{};
-  duration time_left{};  ///< What the target may take.
+  duration time_left{};  ///< Until the request's deadline.
 };
 
-/// What a host says itself when no target's answer can be passed on.
+/// The answer that the host itself gives when it has no target's answer to
+/// pass on.
 enum class own_answer {
-  kNoRoute,   ///< The declarations allow no such request.
+  kNoRoute,   ///< The configuration has no route for the request.
   kNotRun,    ///< No target ran the request, and none will.
-  kUnknown,   ///< A target may have run it.
-  kTimedOut,  ///< Out of time; a target may have run it.
+  kUnknown,   ///< A target may have run it; the result is lost.
+  kTimedOut,  ///< Deadline exceeded; a target may have run it.
 };
 
-/// Why a request was not served, for the log.
+/// Why a request was not served; written to the log.
 enum class refusal_reason {
   kNone,
   kNoConfig,
@@ -83,39 +84,40 @@
   kCrashesTargets,
 };
 
-/// Returns the stable name of a reason.
+/// Returns the name of `reason` in log and metrics. Names are stable.
 std::string_view ToString(refusal_reason reason);
 
-/// What became of a request, for the log and the metrics.
+/// Statistics of a finished request for the log and the metrics.
 struct request_account {
   std::string service{};  ///< Empty if no route was found.
-  int attempts = 0;       ///< Sends that reached a target.
-  duration age{};         ///< Since its arrival.
-  /// From its arrival to its first send, if it was sent.
+  int attempts = 0;       ///< Attempts that reached a target.
+  duration age{};         ///< Time since its arrival.
+  /// Time from its arrival to its first send; empty if it was never sent.
   std::optional<duration> wait{};
 };
 
-/// Ends a request with an answer of this host.
+/// Answers a request on behalf of this host, which ends the request.
 struct own_answer_action {
   request_id id = 0;
   own_answer answer = own_answer::kNotRun;
   refusal_reason reason = refusal_reason::kNone;
   std::optional<duration> retry_after{};
-  /// Only the attempt that is being cancelled may have run: the answer is
-  /// kNotRun if no byte of it was written.
+  /// Only the attempt that is being cancelled may have run: if no byte of it
+  /// was written to the target, answer kNotRun instead of `reply`.
   bool not_run_if_unwritten = false;
   request_account account{};
   std::optional<key_point> key{};
-  uint64_t config_version = 0;  ///< By which it was routed.
+  uint64_t config_version = 0;  ///< Configuration that it was routed by.
 };
 
-/// Ends a request with the answer that its last attempt brought.
+/// Passes the answer of the last attempt on to the caller, which ends the
+/// request.
 struct deliver_action {
   request_id id = 0;
   request_account account{};
 };
 
-/// Ends the request's attempt under way by closing its connection.
+/// Cancels the request's current attempt by closing its connection.
 struct cancel_action {
   request_id id = 0;
 };
@@ -128,101 +130,105 @@
 struct attempt_report {
   request_id id = 0;
   attempt_verdict verdict = attempt_verdict::kBroken;
-  std::optional<told_load> load{};  ///< What the target told, if it did.
+  std::optional<told_load> load{};  ///< Reported by the target, if at all.
 };
 
-/// How one service stands now.
+/// Current state of one service for the metrics.
 struct service_gauges {
   std::string service;
   size_t waiting = 0;         ///< Requests not sent yet.
-  size_t usable_targets = 0;  ///< Listed, not leaving and reachable.
-  size_t cold_targets = 0;
-  int in_flight = 0;          ///< This host's requests at the targets.
-  double repeats_left = 0.0;  ///< This host's part of the budget.
+  size_t usable_targets = 0;  ///< Listed, not draining and reachable.
+  size_t cold_targets = 0;    ///< Not warmed up yet after their start.
+  int in_flight = 0;          ///< Attempts of this host under way.
+  double repeats_left = 0.0;  ///< In this host's share of the retry budget.
 };
 
-/// Counts since the start.
+/// Counters since the start of the host.
 struct router_counts {
   uint64_t requests = 0;
   uint64_t repeats = 0;
 };
 
-/// What a router goes by.
+/// Settings of a request_router.
 struct router_settings {
   std::string zone;
   retry_bounds retries;
-  /// A leaving target must get no request later than this after its word.
+  /// A target must get no request later than this after it announced that it
+  /// drains.
   duration drain{std::chrono::seconds{2}};
   uint64_t seed = 1;
 };
 
-/// The decisions of one host.
+/// Routes the requests of one host.
 ///
 /// @code
 /// router.OnRequest(request, now, actions);
-/// for (const router_action& action : actions) Carry(action);
+/// for (const router_action& action : actions) Execute(action);
 /// @endcode
 class request_router {
  public:
   explicit request_router(router_settings settings);
   ~request_router();
 
-  /// Puts a new version of the declarations in force.
+  /// Applies a new version of the configuration.
   void OnConfig(route_table_ptr table, time_point now, router_actions& out);
 
-  /// Takes the targets of all services as the store lists them now.
-  /// `doubtful` tells that the store was away of late: targets that are
-  /// missing may be back within seconds. What differs from the list before
-  /// happened after `same_until`, when that one was still current.
+  /// Replaces the targets of all services by those that the store lists.
+  /// `may_be_incomplete` is set when the store was unavailable recently, so
+  /// that missing targets may be listed again within seconds. `unchanged_until`
+  /// is the last time at which the previous list was known to be current:
+  /// whatever differs from it changed after that.
   void OnTargets(const std::vector<target_entry>& targets, bool doubtful,
                  time_point same_until, time_point now, router_actions& out);
 
-  /// Takes the availability zones that are evacuated.
+  /// Sets the availability zones that are evacuated.
   void OnEvacuations(std::set<std::string> zones, time_point now,
                      router_actions& out);
 
-  /// Takes the owners of a keyed service's keys.
+  /// Sets the owners of a keyed service's keys.
   void OnKeyMap(const std::string& service, const key_map& map, time_point now,
                 router_actions& out);
 
-  /// Takes the number of hosts that share the retry budgets.
+  /// Sets the number of hosts that share the retry budgets and the targets'
+  /// connections and slots.
   void OnHostCount(size_t hosts);
 
   void OnRequest(const incoming_request& request, time_point now,
                  router_actions& out);
   void OnAttemptEnded(const attempt_report& report, time_point now,
                       router_actions& out);
-  /// The caller left before its answer.
+  /// Drops a request whose caller disconnected before the answer.
   void OnCallerGone(request_id id, time_point now, router_actions& out);
 
-  /// Does what is due. Call at NextDue() or later.
+  /// Runs the timers that are due. Call at NextDue() or later.
   void OnTime(time_point now, router_actions& out);
-  /// time_point::max() when nothing is due.
+  /// Time of the first timer; time_point::max() if there is none.
   time_point NextDue() const;
 
-  /// Keys of a keyed service that were asked for since the last call, each
-  /// with its number of requests. Of more than a datagram carries, the busiest.
+  /// Returns the keys of a keyed service that were requested since the last
+  /// call, each with its number of requests: the busiest ones if there are more
+  /// than a datagram carries.
   std::vector<std::pair<uint32_t, uint32_t>> TakeKeyLoad(
       const std::string& service);
-  /// Loads that the targets of a service told since the last call.
+  /// Returns the loads that a service's targets reported since the last call.
   std::vector<load_sample> TakeLoads(const std::string& service,
                                      time_point now);
-  /// Takes what other hosts heard of targets' loads.
+  /// Applies loads that targets reported to other hosts.
   void OnLoads(std::span<const load_sample> loads, time_point now);
-  /// What the targets of a service took since the last call; those that served
-  /// nothing are left out.
+  /// Returns the mean latency of a service's targets since the last call,
+  /// without the targets that served nothing.
   std::vector<target_latency> TakeLatencies(const std::string& service);
 
   const route_table* table() const { return table_.get(); }
   size_t pending() const { return requests_.size(); }
   const router_counts& counts() const { return counts_; }
   std::vector<service_gauges> Gauges(time_point now);
-  /// Contents that crash targets, to be shared among the hosts.
+  /// Request contents that crash targets; shared among the hosts.
   crash_watch& crashes() { return crashes_; }
 
  private:
-  /// How often a waiting request is looked at again when no answer of a target
-  /// gives occasion: targets become trusted again, keys get an owner.
+  /// Period at which a waiting request is tried again without an event: targets
+  /// become trusted again and keys get an owner with time.
   static constexpr duration kRecheck{std::chrono::milliseconds{40}};
 
   struct target;
@@ -241,33 +247,34 @@
   void Refuse(request& refused, refusal_reason reason, time_point now,
               router_actions& out);
   int ConnectionsAllowed(const std::string& service) const;
-  /// The latency assumed of a target that is new to this host: the others'
-  /// mean, so that it gets its part of the requests at once.
+  /// The latency assumed of a target that is new to this host: the mean of the
+  /// others, so that it gets its share of the requests at once.
   static duration FirstLatency(const service& of);
   void LimitConnections();
-  /// Takes this host's share of the slots of a service's targets.
+  /// Updates this host's share of the slots of a service's targets.
   void ShareSlots(service& of) const;
   void Finish(request& finished);
   void Wait(request& waiting, time_point now);
-  /// Puts a request into the queue of its keys' owner, or else of its service.
+  /// Adds a request to the queue of its key's owner, or of its service if the
+  /// key has none.
   void JoinQueue(request& waiting);
   void LeaveQueue(request& waiting);
-  /// Puts waiting requests into the queues of their keys' present owners.
+  /// Moves waiting requests to the queues of their keys' current owners.
   void RedistributeQueues(service& of);
-  /// The queue of `owner`, or of the service if there is none.
+  /// Returns the queue of `owner`, or of the service if `owner` is nullptr.
   static waiting_queue& QueueOf(service& at, target* owner);
-  /// How long an answer takes, most likely, once a request is sent; 0 if
-  /// nothing is known. `owner` is that of its keys, if it has any.
+  /// Returns the most likely latency of an attempt; 0 if nothing is known.
+  /// `owner` is the owner of the request's key, nullptr if there is none.
   static duration LikelyLatency(const service& at, const target* owner,
                                 time_point now);
   bool TrySend(request& sent, time_point now, router_actions& out);
   target* Pick(service& from, const request& by, time_point now);
-  /// Finds the owner of a request's keys; nullptr if the service has none or
-  /// they are changing hands.
+  /// Returns the owner of a request's key; nullptr if there is none or the key
+  /// is moving to another owner.
   static target* FindOwner(service& from, const request& by);
   target* OwnerOf(service& from, const request& by, time_point now);
   target* PickPooled(service& from, const request& by, time_point now);
-  /// Takes the load that target `by` told when it ended an attempt.
+  /// Records the load that `reporter` reported with the end of an attempt.
   static void TakeLoad(const request& ended, target& by,
                        const attempt_report& report, time_point now);
   bool MayRepeat(request& repeated, time_point now);
@@ -275,7 +282,7 @@
               router_actions& out);
   void Pump(service& pumped, time_point now, router_actions& out);
   void PumpQueue(waiting_queue& queue, time_point now, router_actions& out);
-  /// Pumps the queue that room at `freed` is for; it may be none.
+  /// Sends requests that wait for the slot freed at `freed`, which may be null.
   void PumpAfter(service& at, const target_ptr& freed, time_point now,
                  router_actions& out);
   void Expire(request& expired, time_point now, router_actions& out);
@@ -286,13 +293,15 @@
   duration RetryAfter(const request& refused, refusal_reason reason,
                       time_point now);
   void Schedule(time_point at, request_id id);
-  /// Whether `of` may get requests of new work now, if it has room.
+  /// Whether `candidate` may get new requests now, if it has a free slot.
   static bool IsOpen(const target& of, time_point now);
-  /// Whether an owner's zone was evacuated so long ago that it gets nothing.
+  /// Whether an owner's zone was evacuated so long ago that the owner gets no
+  /// more requests.
   static bool IsEvacuationOver(const target& owner, time_point now);
-  /// When the first of a service's cold targets is warm; empty if none is cold.
+  /// Returns when the first of a service's cold targets is warm; empty if none
+  /// is cold.
   static std::optional<time_point> WarmAt(const service& at, time_point now);
-  /// Whether it has been missing from the list for too long to be used.
+  /// Whether a target has been missing from the list for too long to be used.
   static bool IsRetired(const target& of, time_point now);
   void DropRetired(service& from, time_point now);
 
--- a/src/core/request_router.cc
+++ b/src/core/request_router.cc
@@ -9,23 +9,25 @@
 namespace foxtailspread {
 namespace {
 
-/// Time that a request without a stated patience is given.
-constexpr duration kDefaultPatience{std::chrono::seconds{30}};
+/// Timeout of a request whose caller states none.
+constexpr duration kDefaultCallerTimeout{std::chrono::seconds{30}};
 
-/// Pauses before a request goes to the same owner again.
-constexpr duration kPauseAfterShed{std::chrono::milliseconds{40}};
-constexpr duration kPauseAfterMisdirected{std::chrono::milliseconds{60}};
+/// Delays before a request is sent to the same owner again.
+constexpr duration kDelayAfterShed{std::chrono::milliseconds{40}};
+constexpr duration kDelayAfterMisdirected{std::chrono::milliseconds{60}};
 
-/// Sends that reach nobody before a request is refused.
-constexpr int kMaxUnreachable = 3;
+/// Number of sends to unreachable targets after which a request is refused.
+constexpr int kMaxUnreachableSends = 3;
 
-/// Least time to the deadline that makes another send worthwhile.
-constexpr duration kLeastTimeToSend{std::chrono::milliseconds{15}};
+/// Minimum time to the deadline for another send; less is not enough to get an
+/// answer.
+constexpr duration kMinTimeToSend{std::chrono::milliseconds{15}};
 
-/// Weight of one outcome in the share of refused attempts, and the share
-/// above which repeats only add to the load of a service that is full.
+/// Weight of one attempt in the moving average of the fraction of attempts that
+/// are shed, and the fraction above which a service counts as full: retries
+/// would only add to its load.
 constexpr double kShedWeight = 0.05;
-constexpr double kShedShareMost = 0.5;
+constexpr double kMaxShedFraction = 0.5;
 
 }  // namespace
 
@@ -68,12 +70,12 @@
       random_(static_cast<uint32_t>(settings_.seed | 1U)) {}
 
 request_router::~request_router() {
-  for (auto& [name, each] : services_) {
-    each->queue.Clear();
+  for (auto& [name, service_state] : services_) {
+    service_state->queue.Clear();
   }
-  for (auto& [id, each] : requests_) {
-    if (each->waits_for) {
-      each->waits_for->queue.Clear();
+  for (auto& [id, pending_request] : requests_) {
+    if (pending_request->waits_for) {
+      pending_request->waits_for->queue.Clear();
     }
   }
 }
@@ -90,12 +92,13 @@
 void request_router::OnRequest(const incoming_request& incoming, time_point now,
                                router_actions& out) {
   ++counts_.requests;
-  const route* by =
+  const route* matched_route =
       table_ ? table_->Find(incoming.host, incoming.path) : nullptr;
-  if (by == nullptr || by->services.empty()) {
+  if (matched_route == nullptr || matched_route->services.empty()) {
     const auto reason =
         table_ ? refusal_reason::kNoRoute : refusal_reason::kNoConfig;
-    // Without any declarations nothing is known to be forbidden.
+    // Without a configuration the route may exist, so that callers are asked to
+    // retry.
     own_answer_action refusal{.id = incoming.id, .reason = reason};
     refusal.answer = table_ ? own_answer::kNoRoute : own_answer::kNotRun;
     if (!table_) {
@@ -104,104 +107,111 @@
     out.emplace_back(std::move(refusal));
     return;
   }
-  auto made = std::make_unique<request>();
-  made->id = incoming.id;
-  made->table = table_;
-  made->by = by;
-  made->key = incoming.key;
-  made->content = incoming.content;
-  made->arrived = now;
-  const duration patience = incoming.patience.value_or(kDefaultPatience);
-  made->caller_waits = now + patience;
-  made->expires = now + std::min(patience, by->timeout);
-  const size_t part = splits_[by->name].Next(by->services);
-  made->at = &ServiceOf(by->services[part].service);
-  made->at->budget.OnRequest(now);
-  if (made->at->keyed && made->key) {
-    made->at->keys_asked.push_back(*made->key);
+  auto new_request = std::make_unique<request>();
+  new_request->id = incoming.id;
+  new_request->table = table_;
+  new_request->by = matched_route;
+  new_request->key = incoming.key;
+  new_request->content = incoming.content;
+  new_request->arrived = now;
+  const duration caller_timeout =
+      incoming.patience.value_or(kDefaultCallerTimeout);
+  new_request->caller_waits = now + caller_timeout;
+  new_request->expires = now + std::min(caller_timeout, matched_route->timeout);
+  const size_t split_index =
+      splits_[matched_route->name].Next(matched_route->services);
+  new_request->at = &ServiceOf(matched_route->services[split_index].service);
+  new_request->at->budget.OnRequest(now);
+  if (new_request->at->keyed && new_request->key) {
+    new_request->at->keys_asked.push_back(*new_request->key);
   }
-  request& admitted = *made;
-  requests_.emplace(incoming.id, std::move(made));
-  Admit(admitted, now, out);
+  request& admitted_request = *new_request;
+  requests_.emplace(incoming.id, std::move(new_request));
+  Admit(admitted_request, now, out);
 }
 
-void request_router::Admit(request& admitted, time_point now,
+void request_router::Admit(request& new_request, time_point now,
                            router_actions& out) {
-  if (const auto reason = CannotServe(*admitted.at, admitted, now)) {
-    Refuse(admitted, *reason, now, out);
+  if (const auto reason = CannotServe(*new_request.at, new_request, now)) {
+    Refuse(new_request, *reason, now, out);
     return;
   }
-  service& at = *admitted.at;
-  target* owner = FindOwner(at, admitted);
-  const duration most =
-      QueueOf(at, owner).IsOverloaded(now)
+  service& service_state = *new_request.at;
+  target* owner = FindOwner(service_state, new_request);
+  const duration max_wait =
+      QueueOf(service_state, owner).IsOverloaded(now)
           ? duration{0}
-          : MostWait(admitted.by->objective, LikelyLatency(at, owner, now));
-  admitted.wait_until =
-      std::min(now + most, admitted.expires - kLeastTimeToSend);
-  Wait(admitted, now);
-  Schedule(admitted.expires, admitted.id);
-  PumpQueue(*admitted.queue, now, out);
+          : MostWait(new_request.by->objective,
+                     LikelyLatency(service_state, owner, now));
+  new_request.wait_until =
+      std::min(now + max_wait, new_request.expires - kMinTimeToSend);
+  Wait(new_request, now);
+  Schedule(new_request.expires, new_request.id);
+  PumpQueue(*new_request.queue, now, out);
 }
 
-void request_router::Schedule(time_point at, request_id id) {
-  due_.push({at, id});
+void request_router::Schedule(time_point due_time, request_id id) {
+  due_.push({due_time, id});
 }
 
-bool request_router::TrySend(request& sent, time_point now,
+bool request_router::TrySend(request& pending_request, time_point now,
                              router_actions& out) {
-  if (!sent.at->keyed && !sent.at->limit.HasRoom(sent.at->in_flight)) {
+  if (!pending_request.at->keyed &&
+      !pending_request.at->limit.HasRoom(pending_request.at->in_flight)) {
     return false;
   }
-  target* to = Pick(*sent.at, sent, now);
-  if (to == nullptr) {
+  target* chosen = Pick(*pending_request.at, pending_request, now);
+  if (chosen == nullptr) {
     return false;
   }
-  LeaveQueue(sent);
-  sent.current = to;
-  sent.sent = now;
-  if (!sent.first_sent) {
-    sent.first_sent = now;
+  LeaveQueue(pending_request);
+  pending_request.current = chosen;
+  pending_request.sent = now;
+  if (!pending_request.first_sent) {
+    pending_request.first_sent = now;
   }
-  to->health.OnSent(now);
-  ++sent.at->in_flight;
-  if (!sent.WasTried(to)) {
-    sent.tried.emplace_back(to);
+  chosen->health.OnSent(now);
+  ++pending_request.at->in_flight;
+  if (!pending_request.WasTried(chosen)) {
+    pending_request.tried.emplace_back(chosen);
   }
-  ++sent.arrivals;
-  out.emplace_back(send_action{.id = sent.id,
-                               .target = to->entry.life,
-                               .address = to->entry.address,
-                               .time_left = sent.expires - now});
+  ++pending_request.arrivals;
+  out.emplace_back(send_action{.id = pending_request.id,
+                               .target = chosen->entry.life,
+                               .address = chosen->entry.address,
+                               .time_left = pending_request.expires - now});
   return true;
 }
 
-bool request_router::MayRepeat(request& repeated, time_point now) {
-  const int limit = std::max(repeated.by->max_attempts, 1);
-  if (crashes_.IsCrashing(repeated.content, now)) {
+bool request_router::MayRepeat(request& pending_request, time_point now) {
+  const int max_attempts = std::max(pending_request.by->max_attempts, 1);
+  if (crashes_.IsCrashing(pending_request.content, now)) {
     return false;
   }
-  if (repeated.arrivals >= limit || repeated.at->shed_share > kShedShareMost ||
-      repeated.expires - now < kLeastTimeToSend) {
+  if (pending_request.arrivals >= max_attempts ||
+      pending_request.at->shed_share > kMaxShedFraction ||
+      pending_request.expires - now < kMinTimeToSend) {
     return false;
   }
-  if (!repeated.at->budget.TryRepeat(now)) {
+  if (!pending_request.at->budget.TryRepeat(now)) {
     return false;
   }
   ++counts_.repeats;
   return true;
 }
 
-void request_router::Repeat(request& repeated, refusal_reason otherwise,
-                            time_point now, router_actions& out) {
-  if (!MayRepeat(repeated, now)) {
-    Refuse(repeated, otherwise, now, out);
+void request_router::Repeat(request& pending_request,
+                            refusal_reason reason_if_refused, time_point now,
+                            router_actions& out) {
+  if (!MayRepeat(pending_request, now)) {
+    Refuse(pending_request, reason_if_refused, now, out);
     return;
   }
-  repeated.wait_until = std::max(repeated.wait_until,
-                                 std::min(now + kPauseAfterMisdirected * 2,
-                                          repeated.expires - kLeastTimeToSend));
-  Wait(repeated, now);
+  pending_request.wait_until =
+      std::max(pending_request.wait_until,
+               std::min(now + kDelayAfterMisdirected * 2,
+                        pending_request.expires - kMinTimeToSend));
+  Wait(pending_request, now);
 }
 
 void request_router::OnAttemptEnded(const attempt_report& report,
@@ -210,69 +220,75 @@
   if (found == requests_.end() || !found->second->current) {
     return;
   }
-  request& ended = *found->second;
-  service& at = *ended.at;
-  const target_ptr was = std::move(ended.current);
-  ended.current.reset();
+  request& pending_request = *found->second;
+  service& service_state = *pending_request.at;
+  const target_ptr attempted_target = std::move(pending_request.current);
+  pending_request.current.reset();
   const bool not_owner =
-      at.keyed && report.verdict == attempt_verdict::kMisdirected;
-  was->health.OnEnded(not_owner ? attempt_verdict::kNotOwner : report.verdict,
-                      ended.sent, ended.by->objective, now);
-  --at.in_flight;
+      service_state.keyed && report.verdict == attempt_verdict::kMisdirected;
+  attempted_target->health.OnEnded(
+      not_owner ? attempt_verdict::kNotOwner : report.verdict,
+      pending_request.sent, pending_request.by->objective, now);
+  --service_state.in_flight;
   if (report.load) {
-    TakeLoad(ended, *was, report, now);
+    TakeLoad(pending_request, *attempted_target, report, now);
   }
   const bool shed = report.verdict == attempt_verdict::kShed;
-  at.shed_share += kShedWeight * ((shed ? 1.0 : 0.0) - at.shed_share);
-  const bool idempotent = ended.by->repeat == repeat_rule::kIdempotent;
+  service_state.shed_share +=
+      kShedWeight * ((shed ? 1.0 : 0.0) - service_state.shed_share);
+  const bool idempotent =
+      pending_request.by->repeat == repeat_rule::kIdempotent;
   switch (report.verdict) {
     case attempt_verdict::kServed:
-      crashes_.OnAnswered(ended.content);
-      out.emplace_back(
-          deliver_action{.id = ended.id, .account = ended.Account(now)});
-      Finish(ended);
+      crashes_.OnAnswered(pending_request.content);
+      out.emplace_back(deliver_action{.id = pending_request.id,
+                                      .account = pending_request.Account(now)});
+      Finish(pending_request);
       break;
     case attempt_verdict::kFailed:
-      crashes_.OnAnswered(ended.content);
-      ended.may_have_run = true;
-      ended.has_answer = true;
+      crashes_.OnAnswered(pending_request.content);
+      pending_request.may_have_run = true;
+      pending_request.has_answer = true;
       if (idempotent) {
-        Repeat(ended, refusal_reason::kNoRetryLeft, now, out);
+        Repeat(pending_request, refusal_reason::kNoRetryLeft, now, out);
       } else {
-        Refuse(ended, refusal_reason::kNone, now, out);
+        Refuse(pending_request, refusal_reason::kNone, now, out);
       }
       break;
     case attempt_verdict::kShed:
-      ended.not_before = at.keyed ? now + kPauseAfterShed : now;
-      Repeat(ended, refusal_reason::kTargetShed, now, out);
+      pending_request.not_before =
+          service_state.keyed ? now + kDelayAfterShed : now;
+      Repeat(pending_request, refusal_reason::kTargetShed, now, out);
       break;
     case attempt_verdict::kMisdirected:
     case attempt_verdict::kNotOwner:
-      ended.not_before = at.keyed ? now + kPauseAfterMisdirected : now;
-      Repeat(ended, refusal_reason::kNoOwner, now, out);
+      pending_request.not_before =
+          service_state.keyed ? now + kDelayAfterMisdirected : now;
+      Repeat(pending_request, refusal_reason::kNoOwner, now, out);
       break;
     case attempt_verdict::kUnreachable:
-      --ended.arrivals;
-      if (++ended.unreachable >= kMaxUnreachable) {
-        Refuse(ended, refusal_reason::kNoTarget, now, out);
+      --pending_request.arrivals;
+      if (++pending_request.unreachable >= kMaxUnreachableSends) {
+        Refuse(pending_request, refusal_reason::kNoTarget, now, out);
       } else {
-        Wait(ended, now);
+        Wait(pending_request, now);
       }
       break;
     case attempt_verdict::kBroken:
-      crashes_.OnBroken(ended.content, was->entry.life, now);
-      ended.may_have_run = true;
+      crashes_.OnBroken(pending_request.content, attempted_target->entry.life,
+                        now);
+      pending_request.may_have_run = true;
       if (idempotent) {
-        Repeat(ended, refusal_reason::kTargetBroke, now, out);
+        Repeat(pending_request, refusal_reason::kTargetBroke, now, out);
       } else {
-        Refuse(ended, refusal_reason::kTargetBroke, now, out);
+        Refuse(pending_request, refusal_reason::kTargetBroke, now, out);
       }
       break;
     case attempt_verdict::kTimedOut:
     case attempt_verdict::kAbandoned:
       break;
   }
-  PumpAfter(at, was, now, out);
+  PumpAfter(service_state, attempted_target, now, out);
 }
 
 void request_router::OnCallerGone(request_id id, time_point now,
@@ -281,71 +297,75 @@
   if (found == requests_.end()) {
     return;
   }
-  request& gone = *found->second;
-  service& at = *gone.at;
-  const target_ptr was = gone.current;
-  if (gone.current) {
-    gone.current->health.OnEnded(attempt_verdict::kAbandoned, gone.sent,
-                                 gone.by->objective, now);
-    --at.in_flight;
+  request& pending_request = *found->second;
+  service& service_state = *pending_request.at;
+  const target_ptr attempted_target = pending_request.current;
+  if (pending_request.current) {
+    pending_request.current->health.OnEnded(attempt_verdict::kAbandoned,
+                                            pending_request.sent,
+                                            pending_request.by->objective, now);
+    --service_state.in_flight;
     out.emplace_back(cancel_action{id});
   }
-  Finish(gone);
-  PumpAfter(at, was, now, out);
+  Finish(pending_request);
+  PumpAfter(service_state, attempted_target, now, out);
 }
 
-void request_router::Refuse(request& refused, refusal_reason reason,
+void request_router::Refuse(request& pending_request, refusal_reason reason,
                             time_point now, router_actions& out) {
-  if (refused.has_answer) {
-    out.emplace_back(
-        deliver_action{.id = refused.id, .account = refused.Account(now)});
-    Finish(refused);
+  if (pending_request.has_answer) {
+    out.emplace_back(deliver_action{.id = pending_request.id,
+                                    .account = pending_request.Account(now)});
+    Finish(pending_request);
     return;
   }
-  own_answer_action refusal{.id = refused.id,
-                            .reason = reason,
-                            .account = refused.Account(now),
-                            .key = refused.key,
-                            .config_version = refused.table->config().version};
-  if (!refused.may_have_run) {
+  own_answer_action refusal{
+      .id = pending_request.id,
+      .reason = reason,
+      .account = pending_request.Account(now),
+      .key = pending_request.key,
+      .config_version = pending_request.table->config().version};
+  if (!pending_request.may_have_run) {
     refusal.answer = own_answer::kNotRun;
-    refusal.retry_after = RetryAfter(refused, reason, now);
+    refusal.retry_after = RetryAfter(pending_request, reason, now);
   } else if (reason == refusal_reason::kDeadline) {
     refusal.answer = own_answer::kTimedOut;
   } else {
     refusal.answer = own_answer::kUnknown;
   }
   out.emplace_back(std::move(refusal));
-  Finish(refused);
+  Finish(pending_request);
 }
 
-void request_router::Finish(request& finished) {
-  LeaveQueue(finished);
-  requests_.erase(finished.id);
+void request_router::Finish(request& pending_request) {
+  LeaveQueue(pending_request);
+  requests_.erase(pending_request.id);
 }
 
-void request_router::Expire(request& expired, time_point now,
+void request_router::Expire(request& pending_request, time_point now,
                             router_actions& out) {
-  service& at = *expired.at;
-  const bool only_current = expired.current && !expired.may_have_run;
-  const target_ptr was = expired.current;
-  if (expired.current) {
-    expired.current->health.OnEnded(attempt_verdict::kTimedOut, expired.sent,
-                                    expired.by->objective, now);
-    --at.in_flight;
-    expired.current.reset();
-    expired.may_have_run = true;
-    out.emplace_back(cancel_action{expired.id});
+  service& service_state = *pending_request.at;
+  const bool only_current_may_have_run =
+      pending_request.current && !pending_request.may_have_run;
+  const target_ptr attempted_target = pending_request.current;
+  if (pending_request.current) {
+    pending_request.current->health.OnEnded(attempt_verdict::kTimedOut,
+                                            pending_request.sent,
+                                            pending_request.by->objective, now);
+    --service_state.in_flight;
+    pending_request.current.reset();
+    pending_request.may_have_run = true;
+    out.emplace_back(cancel_action{pending_request.id});
   }
   const duration retry_after =
-      RetryAfter(expired, refusal_reason::kDeadline, now);
-  Refuse(expired, refusal_reason::kDeadline, now, out);
-  if (auto* said = std::get_if<own_answer_action>(&out.back());
-      said != nullptr && only_current) {
-    said->not_run_if_unwritten = true;
-    said->retry_after = retry_after;
+      RetryAfter(pending_request, refusal_reason::kDeadline, now);
+  Refuse(pending_request, refusal_reason::kDeadline, now, out);
+  if (auto* reply_action = std::get_if<own_answer_action>(&out.back());
+      reply_action != nullptr && only_current_may_have_run) {
+    reply_action->not_run_if_unwritten = true;
+    reply_action->retry_after = retry_after;
   }
-  PumpAfter(at, was, now, out);
+  PumpAfter(service_state, attempted_target, now, out);
 }
 
 void request_router::OnTime(time_point now, router_actions& out) {
@@ -356,20 +376,24 @@
     if (found == requests_.end()) {
       continue;
     }
-    request& looked_at = *found->second;
-    if (looked_at.expires <= now) {
-      Expire(looked_at, now, out);
-    } else if (looked_at.is_waiting() && looked_at.wait_until <= now) {
-      // Keys on their way have their owner soon, whatever was refused before.
-      const bool for_move = looked_at.at->keyed && !looked_at.waits_for;
-      if (!for_move) {
-        looked_at.queue->NoteRefused(looked_at, now);
+    request& pending_request = *found->second;
+    if (pending_request.expires <= now) {
+      Expire(pending_request, now, out);
+    } else if (pending_request.is_waiting() &&
+               pending_request.wait_until <= now) {
+      // A refusal while a key moves to a new owner says nothing about the load:
+      // requests for the keys that move next must still wait.
+      const bool waits_for_move =
+          pending_request.at->keyed && !pending_request.waits_for;
+      if (!waits_for_move) {
+        pending_request.queue->NoteRefused(pending_request, now);
       }
-      Refuse(looked_at, refusal_reason::kWaitedTooLong, now, out);
-    } else if (looked_at.is_waiting()) {
-      DropRetired(*looked_at.at, now);
-      if (looked_at.not_before > now || !TrySend(looked_at, now, out)) {
-        Schedule(std::min(looked_at.wait_until, now + kRecheck), id);
+      Refuse(pending_request, refusal_reason::kWaitedTooLong, now, out);
+    } else if (pending_request.is_waiting()) {
+      DropRetired(*pending_request.at, now);
+      if (pending_request.not_before > now ||
+          !TrySend(pending_request, now, out)) {
+        Schedule(std::min(pending_request.wait_until, now + kRecheck), id);
       }
     }
   }
--- a/src/core/request_router_placing.cc
+++ b/src/core/request_router_placing.cc
@@ -1,6 +1,8 @@
-// Where a request goes, how long it waits for that and when it is refused
-// instead. Load patterns: bursts beyond what the targets can do, unlike and
-// slowed targets, and keys whose owner is moving or lost.
+// Target selection, and the decision whether a request waits or is refused.
+//
+// Load patterns that these rules are made for: bursts above the capacity of the
+// targets, targets of unequal or reduced speed, and keys that are moving to
+// another owner or whose owner is lost.
 
 #include <algorithm>
 #include <array>
@@ -13,116 +15,130 @@
 namespace foxtailspread {
 namespace {
 
-/// Part of the objective that a target in another zone costs when targets are
-/// compared: its bytes are paid for and it is a cut away. Larger, the own
-/// zone's targets would be overloaded before any work goes elsewhere.
-constexpr double kOtherZoneShare = 0.2;
+/// Penalty for a target in another zone when targets are compared, as a
+/// fraction of the latency objective: traffic between zones is billed, and a
+/// network partition can cut it off. With a larger penalty the targets of the
+/// own zone would be overloaded before any request goes to another zone.
+constexpr double kOtherZonePenaltyFraction = 0.2;
 
-/// Targets compared for one request. Two choices keep hosts that do not see
-/// each other's requests from all taking the one that looks best.
+/// Number of random targets compared for one request. Hosts don't see each
+/// other's requests; comparing only two random targets keeps them from all
+/// sending to the one that looks best.
 constexpr int kChoices = 2;
-/// The same where targets tell their load, which is then known better.
-constexpr int kToldChoices = 3;
+/// The same for services whose targets report their load: the hosts know the
+/// load better there and can compare more.
+constexpr int kChoicesWithReportedLoad = 3;
 
-/// Part of its time of grace in which requests still go to a keyed target that
-/// is leaving, while its keys find a new owner. It counts from when the target
-/// may have begun to leave: this host hears of it up to a second and a half
-/// later, and a target must not be asked after its time.
-constexpr double kDrainPart = 0.8;
+/// Fraction of the drain timeout in which requests still go to a keyed target
+/// that is draining, while its keys move to a new owner. It counts from the
+/// earliest time at which the target can have begun to drain: this host hears
+/// of it up to 1.5 s later, and a target must get no request after its drain
+/// timeout.
+constexpr double kDrainFraction = 0.8;
 
-/// How long requests still go to a keyed target whose zone is evacuated, while
-/// its keys find a new owner.
+/// Time in which requests still go to a keyed target whose zone is evacuated,
+/// while its keys move to a new owner.
 constexpr duration kEvacuationGrace{std::chrono::seconds{1}};
 
-/// Keys change hands in tens of milliseconds plus the work that runs on them.
-/// Those that take longer wait for a lost owner's grant to end, and requests
-/// for them are refused instead of waiting along.
-constexpr duration kMoveTime{std::chrono::milliseconds{700}};
+/// Maximum time that requests wait for keys that are moving. A move normally
+/// takes tens of milliseconds plus the time of the requests running on the
+/// keys. One that takes longer is waiting for the grant of a lost owner to
+/// expire, so requests for its keys are refused instead of held.
+constexpr duration kMaxMoveTime{std::chrono::milliseconds{700}};
 
 /// A request is refused at once when its answer is expected later than this
-/// part of its objective.
-constexpr double kHopelessShare = 1.0;
+/// multiple of its latency objective.
+constexpr double kMaxExpectedLatencyRatio = 1.0;
 
-/// The bounds of Retry-After, and the part of the caller's remaining time
-/// that it may take: callers honour no more than a third.
-constexpr duration kRetryAfterLeast{std::chrono::milliseconds{60}};
-constexpr int kRetryAfterPart = 4;
-/// Retry-After when nothing tells when the keys will have an owner again.
-constexpr duration kRetryAfterOwner{std::chrono::milliseconds{500}};
+/// Minimum of Retry-After, and the divisor of the caller's remaining time that
+/// gives its maximum: callers honour at most a third of the remaining time.
+constexpr duration kMinRetryAfter{std::chrono::milliseconds{60}};
+constexpr int kRetryAfterDivisor = 4;
+/// Retry-After for keyed services: when the keys will have an owner again is
+/// not known.
+constexpr duration kKeyedRetryAfter{std::chrono::milliseconds{500}};
 
 }  // namespace
 
-request_router::target* request_router::Pick(service& from, const request& by,
+request_router::target* request_router::Pick(service& service_state,
+                                             const request& pending_request,
                                              time_point now) {
-  return from.keyed ? OwnerOf(from, by, now) : PickPooled(from, by, now);
+  return service_state.keyed ? OwnerOf(service_state, pending_request, now)
+                             : PickPooled(service_state, pending_request, now);
 }
 
-request_router::target* request_router::FindOwner(service& from,
-                                                  const request& by) {
-  const bool has_owner = from.keyed && by.key;
-  const key_range* range = has_owner ? from.owners.Find(*by.key) : nullptr;
-  return range != nullptr && range->granted ? from.FindLife(range->owner)
-                                            : nullptr;
+request_router::target* request_router::FindOwner(
+    service& service_state, const request& pending_request) {
+  const bool has_key = service_state.keyed && pending_request.key;
+  const key_range* range =
+      has_key ? service_state.owners.Find(*pending_request.key) : nullptr;
+  return range != nullptr && range->granted
+             ? service_state.FindLife(range->owner)
+             : nullptr;
 }
 
 bool request_router::IsEvacuationOver(const target& owner, time_point now) {
-  const auto since = owner.availability.evacuated_since();
-  return since && now - *since > kEvacuationGrace;
+  const auto evacuated_since = owner.availability.evacuated_since();
+  return evacuated_since && now - *evacuated_since > kEvacuationGrace;
 }
 
-request_router::target* request_router::OwnerOf(service& from,
-                                                const request& by,
+request_router::target* request_router::OwnerOf(service& service_state,
+                                                const request& pending_request,
                                                 time_point now) {
-  target* owner = FindOwner(from, by);
+  target* owner = FindOwner(service_state, pending_request);
   if (owner == nullptr) {
     return nullptr;
   }
-  const bool left =
+  const bool grace_is_over =
       (owner->draining_since &&
-       now - *owner->draining_since > Part(settings_.drain, kDrainPart)) ||
+       now - *owner->draining_since > Part(settings_.drain, kDrainFraction)) ||
       IsEvacuationOver(*owner, now);
-  const bool usable = !left && !owner->availability.IsCold(now) &&
+  const bool usable = !grace_is_over && !owner->availability.IsCold(now) &&
                       owner->health.IsReachable(now) &&
                       owner->health.HasRoom(now);
   return usable ? owner : nullptr;
 }
 
-request_router::target* request_router::PickPooled(service& from,
-                                                   const request& by,
-                                                   time_point now) {
-  std::array<std::vector<target*>, 2> usable;  // In the own zone, and others.
-  // Used only if there is nothing better: those that fail part of their
-  // requests, and those that are missing from the list.
+request_router::target* request_router::PickPooled(
+    service& service_state, const request& pending_request, time_point now) {
+  std::array<std::vector<target*>, 2> usable;  // Own zone, other zones.
+  // Used only if there is no other: a target that fails part of its requests or
+  // is missing from the list.
   target* last_resort = nullptr;
-  for (const auto& each : from.targets) {
-    const bool open = IsOpen(*each, now) && each->health.IsReachable(now) &&
-                      each->health.HasRoom(now) && !by.WasTried(each.get());
-    if (!open) {
+  for (const auto& candidate : service_state.targets) {
+    const bool is_usable = IsOpen(*candidate, now) &&
+                           candidate->health.IsReachable(now) &&
+                           candidate->health.HasRoom(now) &&
+                           !pending_request.WasTried(candidate.get());
+    if (!is_usable) {
       continue;
     }
-    if (each->missing_since || !each->health.IsTrusted(now)) {
-      const bool better =
+    if (candidate->missing_since || !candidate->health.IsTrusted(now)) {
+      const bool is_better =
           last_resort == nullptr ||
-          each->health.in_flight() < last_resort->health.in_flight();
-      last_resort = better ? each.get() : last_resort;
+          candidate->health.in_flight() < last_resort->health.in_flight();
+      last_resort = is_better ? candidate.get() : last_resort;
       continue;
     }
-    usable[each->entry.zone == settings_.zone ? 0 : 1].push_back(each.get());
+    usable[candidate->entry.zone == settings_.zone ? 0 : 1].push_back(
+        candidate.get());
   }
-  const duration far = duration{static_cast<int64_t>(
-      static_cast<double>(by.by->objective.count()) * kOtherZoneShare)};
-  const int choices = from.limit.is_told() ? kToldChoices : kChoices;
+  const duration other_zone_penalty = duration{static_cast<int64_t>(
+      static_cast<double>(pending_request.by->objective.count()) *
+      kOtherZonePenaltyFraction)};
+  const int choices =
+      service_state.limit.is_told() ? kChoicesWithReportedLoad : kChoices;
   target* best = nullptr;
   duration best_cost{};
   for (size_t group = 0; group < usable.size(); ++group) {
     auto& members = usable[group];
     for (int choice = 0; choice < choices && !members.empty(); ++choice) {
-      const size_t at = random_() % members.size();
-      target* candidate = members[at];
-      members[at] = members.back();
+      const size_t index = random_() % members.size();
+      target* candidate = members[index];
+      members[index] = members.back();
       members.pop_back();
       const duration cost = candidate->health.ExpectedLatency(now) +
-                            (group == 0 ? duration{0} : far);
+                            (group == 0 ? duration{0} : other_zone_penalty);
       if (best == nullptr || cost < best_cost) {
         best = candidate;
         best_cost = cost;
@@ -132,55 +148,62 @@
   return best != nullptr ? best : last_resort;
 }
 
-duration request_router::ExpectedWait(const service& at, const request& by,
+duration request_router::ExpectedWait(const service& service_state,
+                                      const request& pending_request,
                                       time_point now) const {
-  double room = 0.0;
-  double speed = 0.0;  // Requests a microsecond.
-  for (const auto& each : at.targets) {
-    if (!IsOpen(*each, now) || !each->health.IsReachable(now)) {
+  double free_slots = 0.0;
+  double throughput = 0.0;  // Requests per microsecond.
+  for (const auto& candidate : service_state.targets) {
+    if (!IsOpen(*candidate, now) || !candidate->health.IsReachable(now)) {
       continue;
     }
-    room += std::max(0.0, each->health.limit() - each->health.in_flight());
-    speed += each->health.limit() /
-             std::max(1.0, static_cast<double>(each->health.latency().count()));
+    free_slots += std::max(
+        0.0, candidate->health.limit() - candidate->health.in_flight());
+    throughput +=
+        candidate->health.limit() /
+        std::max(1.0, static_cast<double>(candidate->health.latency().count()));
   }
-  const double limit = at.limit.limit();
-  if (limit < room + at.in_flight) {
-    speed *= limit / std::max(1.0, room + at.in_flight);
-    room = std::max(0.0, limit - at.in_flight);
+  const double limit = service_state.limit.limit();
+  if (limit < free_slots + service_state.in_flight) {
+    throughput *= limit / std::max(1.0, free_slots + service_state.in_flight);
+    free_slots = std::max(0.0, limit - service_state.in_flight);
   }
-  const size_t ahead = at.queue.AheadOf(by.by->rank);
-  const double beyond = static_cast<double>(ahead) - std::floor(room) + 1.0;
-  if (beyond <= 0.0 || speed <= 0.0) {
+  const size_t queued_before =
+      service_state.queue.AheadOf(pending_request.by->rank);
+  const double excess =
+      static_cast<double>(queued_before) - std::floor(free_slots) + 1.0;
+  if (excess <= 0.0 || throughput <= 0.0) {
     return duration{0};
   }
-  return duration{static_cast<int64_t>(beyond / speed)};
+  return duration{static_cast<int64_t>(excess / throughput)};
 }
 
-std::optional<refusal_reason> request_router::CannotServe(service& by,
-                                                          const request& asked,
-                                                          time_point now) {
-  if (crashes_.IsCrashing(asked.content, now)) {
+std::optional<refusal_reason> request_router::CannotServe(
+    service& service_state, const request& pending_request, time_point now) {
+  if (crashes_.IsCrashing(pending_request.content, now)) {
     return refusal_reason::kCrashesTargets;
   }
-  const auto hopeless = [&](duration expected) {
-    const double most =
-        static_cast<double>(asked.by->objective.count()) * kHopelessShare;
-    return static_cast<double>(expected.count()) > most ||
-           now + expected > asked.expires;
+  const auto is_too_late = [&](duration expected) {
+    const double max_expected =
+        static_cast<double>(pending_request.by->objective.count()) *
+        kMaxExpectedLatencyRatio;
+    return static_cast<double>(expected.count()) > max_expected ||
+           now + expected > pending_request.expires;
   };
-  if (by.keyed) {
-    const key_range* range = asked.key ? by.owners.Find(*asked.key) : nullptr;
+  if (service_state.keyed) {
+    const key_range* range =
+        pending_request.key ? service_state.owners.Find(*pending_request.key)
+                            : nullptr;
     if (range == nullptr || range->owner.id.empty()) {
       return refusal_reason::kNoOwner;
     }
     if (!range->granted) {
-      const auto since = by.moving_since.find(range->fence);
-      const bool stuck =
-          since != by.moving_since.end() && now - since->second > kMoveTime;
-      return stuck ? std::optional{refusal_reason::kNoOwner} : std::nullopt;
+      const auto moving_since = service_state.moving_since.find(range->fence);
+      const bool is_stuck = moving_since != service_state.moving_since.end() &&
+                            now - moving_since->second > kMaxMoveTime;
+      return is_stuck ? std::optional{refusal_reason::kNoOwner} : std::nullopt;
     }
-    const target* owner = by.FindLife(range->owner);
+    const target* owner = service_state.FindLife(range->owner);
     if (owner == nullptr) {
       return refusal_reason::kNoOwner;
     }
@@ -188,84 +211,94 @@
       return refusal_reason::kNoWarmTarget;
     }
     if (IsEvacuationOver(*owner, now) ||
-        !owner->health.IsReachable(now + asked.by->objective / 2)) {
+        !owner->health.IsReachable(now + pending_request.by->objective / 2)) {
       return refusal_reason::kNoTarget;
     }
-    // Full of other hosts' requests, and no turn of this host's comes in time.
-    const duration most_wait =
-        MostWait(asked.by->objective, owner->health.LikelyLatency());
-    if (owner->health.PausedUntil() > now + most_wait) {
+    // The owner is full of other hosts' requests, and this host may send to it
+    // again only after the request's maximum wait.
+    const duration max_wait =
+        MostWait(pending_request.by->objective, owner->health.LikelyLatency());
+    if (owner->health.PausedUntil() > now + max_wait) {
       return refusal_reason::kQueueFull;
     }
-    const size_t ahead = owner->queue.AheadOf(asked.by->rank);
+    const size_t queued_before = owner->queue.AheadOf(pending_request.by->rank);
     const duration latency = owner->health.latency();
-    const auto wait = duration{static_cast<int64_t>(
-        static_cast<double>(latency.count() * static_cast<int64_t>(ahead)) /
+    const auto expected_wait = duration{static_cast<int64_t>(
+        static_cast<double>(latency.count() *
+                            static_cast<int64_t>(queued_before)) /
         owner->health.limit())};
-    if (ahead > 0 && hopeless(wait + latency / 2)) {
+    if (queued_before > 0 && is_too_late(expected_wait + latency / 2)) {
       return refusal_reason::kQueueFull;
     }
     return std::nullopt;
   }
-  bool any = false;
-  for (const auto& each : by.targets) {
-    any = any || (IsOpen(*each, now) &&
-                  each->health.IsReachable(now + asked.by->objective / 2));
+  bool any_usable = false;
+  for (const auto& candidate : service_state.targets) {
+    any_usable = any_usable || (IsOpen(*candidate, now) &&
+                                candidate->health.IsReachable(
+                                    now + pending_request.by->objective / 2));
   }
-  if (!any) {
-    return WarmAt(by, now) ? refusal_reason::kNoWarmTarget
-                           : refusal_reason::kNoTarget;
+  if (!any_usable) {
+    return WarmAt(service_state, now) ? refusal_reason::kNoWarmTarget
+                                      : refusal_reason::kNoTarget;
   }
-  if (by.waiting_count > 0 && hopeless(ExpectedWait(by, asked, now))) {
+  if (service_state.waiting_count > 0 &&
+      is_too_late(ExpectedWait(service_state, pending_request, now))) {
     return refusal_reason::kQueueFull;
   }
   return std::nullopt;
 }
 
-duration request_router::LikelyLatency(const service& at, const target* owner,
-                                       time_point now) {
-  if (at.keyed) {
+duration request_router::LikelyLatency(const service& service_state,
+                                       const target* owner, time_point now) {
+  if (service_state.keyed) {
     return owner == nullptr ? duration{0} : owner->health.LikelyLatency();
   }
-  duration least = duration::max();
-  for (const auto& each : at.targets) {
-    if (IsOpen(*each, now) && each->health.IsTrusted(now)) {
-      least = std::min(least, each->health.LikelyLatency());
+  duration min_latency = duration::max();
+  for (const auto& candidate : service_state.targets) {
+    if (IsOpen(*candidate, now) && candidate->health.IsTrusted(now)) {
+      min_latency = std::min(min_latency, candidate->health.LikelyLatency());
     }
   }
-  return least == duration::max() ? duration{0} : least;
+  return min_latency == duration::max() ? duration{0} : min_latency;
 }
 
-std::optional<time_point> request_router::WarmAt(const service& at,
+std::optional<time_point> request_router::WarmAt(const service& service_state,
                                                  time_point now) {
-  std::optional<time_point> first;
-  for (const auto& each : at.targets) {
-    const target_availability& of = each->availability;
-    if (of.IsCold(now) && !of.IsEvacuated() && !each->entry.draining) {
-      first = std::min(first.value_or(of.cold_until()), of.cold_until());
+  std::optional<time_point> first_warm_at;
+  for (const auto& candidate : service_state.targets) {
+    const target_availability& availability = candidate->availability;
+    if (availability.IsCold(now) && !availability.IsEvacuated() &&
+        !candidate->entry.draining) {
+      first_warm_at =
+          std::min(first_warm_at.value_or(availability.cold_until()),
+                   availability.cold_until());
     }
   }
-  return first;
+  return first_warm_at;
 }
 
-duration request_router::RetryAfter(const request& refused,
+duration request_router::RetryAfter(const request& refused_request,
                                     refusal_reason reason, time_point now) {
-  service& at = *refused.at;
-  duration base = at.keyed ? kRetryAfterOwner : ExpectedWait(at, refused, now);
+  service& service_state = *refused_request.at;
+  duration base_delay = service_state.keyed
+                            ? kKeyedRetryAfter
+                            : ExpectedWait(service_state, refused_request, now);
   if (reason == refusal_reason::kNoWarmTarget) {
-    base = WarmAt(at, now).value_or(now) - now;
+    base_delay = WarmAt(service_state, now).value_or(now) - now;
   }
-  if (QueueOf(at, FindOwner(at, refused)).IsOverloaded(now)) {
-    base = RetryAfterOverload(refused.by->objective);
+  if (QueueOf(service_state, FindOwner(service_state, refused_request))
+          .IsOverloaded(now)) {
+    base_delay = RetryAfterOverload(refused_request.by->objective);
   }
-  base = std::max(base, kRetryAfterLeast);
-  // Spread over half to one and a half of the time, so that callers refused
-  // together do not return together.
-  const auto spread = static_cast<int64_t>(random_() % 1000);
-  duration chosen = base / 2 + base * spread / 1000;
-  const duration left = refused.caller_waits - now;
-  chosen = std::min(chosen, left / kRetryAfterPart);
-  return std::max(chosen, duration{0});
+  base_delay = std::max(base_delay, kMinRetryAfter);
+  // Jitter of 0.5 to 1.5 times the base, so that callers refused together don't
+  // retry together.
+  const auto jitter_permille = static_cast<int64_t>(random_() % 1000);
+  duration retry_after = base_delay / 2 + base_delay * jitter_permille / 1000;
+  const duration time_left = refused_request.caller_waits - now;
+  retry_after = std::min(retry_after, time_left / kRetryAfterDivisor);
+  return std::max(retry_after, duration{0});
 }
 
 }  // namespace foxtailspread
--- a/src/core/request_router_reports.cc
+++ b/src/core/request_router_reports.cc
@@ -1,4 +1,5 @@
-// What a router tells of the loads that it sees, and what it is told of them.
+// Load and latency reports: those of targets, those for other hosts and those
+// of other hosts.
 
 #include <algorithm>
 #include <chrono>
@@ -11,42 +12,46 @@
 namespace foxtailspread {
 namespace {
 
-/// Keys in one report of the load, some six bytes each.
-constexpr size_t kMostKeysReported = 4000;
+/// Maximum number of keys in one load report; each takes about 6 bytes of the
+/// datagram.
+constexpr size_t kMaxKeysReported = 4000;
 
 }  // namespace
 
-void request_router::TakeLoad(const request& ended, target& by,
+void request_router::TakeLoad(const request& ended_request, target& reporter,
                               const attempt_report& report, time_point now) {
-  // Most likely the load of another target at the address.
+  // Most likely another target has taken over the address, so that the load is
+  // not that of this target.
   if (report.verdict == attempt_verdict::kMisdirected) {
     return;
   }
-  by.health.OnTold(*report.load, now, duration{0});
-  by.has_told = true;
+  reporter.health.OnTold(*report.load, now, duration{0});
+  reporter.has_told = true;
   const double load =
-      static_cast<double>(report.load->occupied()) / by.entry.slots;
-  ended.at->limit.OnAnswer(
+      static_cast<double>(report.load->occupied()) / reporter.entry.slots;
+  ended_request.at->limit.OnAnswer(
       {.load = load,
        .served = report.verdict == attempt_verdict::kServed,
-       .took = now - ended.sent,
-       .objective = ended.by->objective},
-      ended.at->in_flight);
+       .took = now - ended_request.sent,
+       .objective = ended_request.by->objective},
+      ended_request.at->in_flight);
 }
 
 std::vector<service_gauges> request_router::Gauges(time_point now) {
   std::vector<service_gauges> gauges;
-  for (auto& [name, each] : services_) {
-    service_gauges& added = gauges.emplace_back();
-    added.service = name;
-    added.waiting = each->waiting_count;
-    added.in_flight = each->in_flight;
-    added.repeats_left = each->budget.Left(now);
-    for (const auto& one : each->targets) {
-      const bool usable = IsOpen(*one, now) && !one->missing_since &&
-                          one->health.IsReachable(now);
-      added.usable_targets += usable ? 1 : 0;
-      added.cold_targets += one->availability.IsCold(now) ? 1 : 0;
+  for (auto& [name, service_state] : services_) {
+    service_gauges& service_gauge = gauges.emplace_back();
+    service_gauge.service = name;
+    service_gauge.waiting = service_state->waiting_count;
+    service_gauge.in_flight = service_state->in_flight;
+    service_gauge.repeats_left = service_state->budget.Left(now);
+    for (const auto& known_target : service_state->targets) {
+      const bool is_usable = IsOpen(*known_target, now) &&
+                             !known_target->missing_since &&
+                             known_target->health.IsReachable(now);
+      service_gauge.usable_targets += is_usable ? 1 : 0;
+      service_gauge.cold_targets +=
+          known_target->availability.IsCold(now) ? 1 : 0;
     }
   }
   return gauges;
@@ -59,61 +64,63 @@
   if (found == services_.end()) {
     return counts;
   }
-  std::vector<key_point> asked = std::exchange(found->second->keys_asked, {});
-  std::sort(asked.begin(), asked.end());
-  for (const key_point key : asked) {
+  std::vector<key_point> requested_keys =
+      std::exchange(found->second->keys_asked, {});
+  std::sort(requested_keys.begin(), requested_keys.end());
+  for (const key_point key : requested_keys) {
     if (counts.empty() || counts.back().first != key) {
       counts.emplace_back(key, 0);
     }
     ++counts.back().second;
   }
-  if (counts.size() > kMostKeysReported) {
+  if (counts.size() > kMaxKeysReported) {
     std::nth_element(
-        counts.begin(), counts.begin() + kMostKeysReported, counts.end(),
+        counts.begin(), counts.begin() + kMaxKeysReported, counts.end(),
         [](const auto& a, const auto& b) { return a.second > b.second; });
-    counts.resize(kMostKeysReported);
+    counts.resize(kMaxKeysReported);
   }
   return counts;
 }
 
 std::vector<load_sample> request_router::TakeLoads(
     const std::string& service_name, time_point now) {
-  std::vector<load_sample> taken;
+  std::vector<load_sample> samples;
   const auto found = services_.find(service_name);
   if (found == services_.end() || found->second->keyed) {
-    return taken;
+    return samples;
   }
-  for (const auto& each : found->second->targets) {
-    const told_load* load = each->health.Told(now);
-    if (!std::exchange(each->has_told, false) || load == nullptr) {
+  for (const auto& known_target : found->second->targets) {
+    const told_load* load = known_target->health.Told(now);
+    if (!std::exchange(known_target->has_told, false) || load == nullptr) {
       continue;
     }
-    const auto [mean, count] = each->health.TakeRecent();
+    const auto [mean_latency, served] = known_target->health.TakeRecent();
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
-        now - each->health.told_at());
-    taken.push_back({.target = each->short_id,
-                     .load = *load,
-                     .age_ms = static_cast<uint32_t>(age.count()),
-                     .latency_us = static_cast<uint32_t>(mean.count()),
-                     .served = count});
+        now - known_target->health.told_at());
+    samples.push_back(
+        {.target = known_target->short_id,
+         .load = *load,
+         .age_ms = static_cast<uint32_t>(age.count()),
+         .latency_us = static_cast<uint32_t>(mean_latency.count()),
+         .served = served});
   }
-  return taken;
+  return samples;
 }
 
 void request_router::OnLoads(std::span<const load_sample> loads,
                              time_point now) {
-  std::unordered_map<uint32_t, const load_sample*> by_target;
-  for (const load_sample& each : loads) {
-    by_target.emplace(each.target, &each);
+  std::unordered_map<uint32_t, const load_sample*> samples_by_target;
+  for (const load_sample& sample : loads) {
+    samples_by_target.emplace(sample.target, &sample);
   }
-  for (auto& [name, at] : services_) {
-    for (const auto& each : at->targets) {
-      const auto found = by_target.find(each->short_id);
-      if (found != by_target.end()) {
-        const load_sample& told = *found->second;
-        each->health.OnTold(told.load,
-                            now - std::chrono::milliseconds{told.age_ms},
-                            duration{static_cast<int64_t>(told.latency_us)});
+  for (auto& [name, service_state] : services_) {
+    for (const auto& known_target : service_state->targets) {
+      const auto found = samples_by_target.find(known_target->short_id);
+      if (found != samples_by_target.end()) {
+        const load_sample& sample = *found->second;
+        known_target->health.OnTold(
+            sample.load, now - std::chrono::milliseconds{sample.age_ms},
+            duration{static_cast<int64_t>(sample.latency_us)});
       }
     }
   }
@@ -121,20 +128,21 @@
 
 std::vector<target_latency> request_router::TakeLatencies(
     const std::string& service_name) {
-  std::vector<target_latency> taken;
+  std::vector<target_latency> latencies;
   const auto found = services_.find(service_name);
   if (found == services_.end()) {
-    return taken;
+    return latencies;
   }
-  for (const auto& each : found->second->targets) {
-    const auto [mean, count] = each->health.TakeRecent();
-    if (count > 0) {
-      taken.push_back({.target = each->entry.life.id,
-                       .latency_us = static_cast<uint32_t>(mean.count()),
-                       .served = count});
+  for (const auto& known_target : found->second->targets) {
+    const auto [mean_latency, served] = known_target->health.TakeRecent();
+    if (served > 0) {
+      latencies.push_back(
+          {.target = known_target->entry.life.id,
+           .latency_us = static_cast<uint32_t>(mean_latency.count()),
+           .served = served});
     }
   }
-  return taken;
+  return latencies;
 }
 
 }  // namespace foxtailspread
--- a/src/core/request_router_state.h
+++ b/src/core/request_router_state.h
@@ -2,7 +2,7 @@
 #define FOXTAILSPREAD_CORE_REQUEST_ROUTER_STATE_H_
 
 /// @file
-/// What a request_router remembers of targets, requests and services.
+/// State that a request_router keeps of targets, requests and services.
 
 #include <boost/intrusive/list.hpp>
 #include <boost/smart_ptr/intrusive_ptr.hpp>
@@ -19,7 +19,7 @@
 
 namespace foxtailspread {
 
-/// Requests that wait for the same room.
+/// Requests that wait for the same target, or for any target of a service.
 class request_router::waiting_queue {
  public:
   using list =
@@ -29,12 +29,13 @@
   void Add(request& waiting);
   void Remove(request& waiting);
   void Clear();
-  /// Requests that are at least as urgent as `rank`.
+  /// Number of requests that are at least as urgent as `rank`.
   size_t AheadOf(int rank) const;
-  /// By rank, the most urgent first, each in order of arrival.
+  /// The requests by rank, the most urgent first; within a rank in the order in
+  /// which they were added.
   std::map<int, list>& ranks() { return ranks_; }
 
-  /// Notes that a request was refused for want of room.
+  /// Records that a request was refused because no slot became free in time.
   void NoteRefused(const request& refused, time_point now);
   bool IsOverloaded(time_point now) const { return now < overloaded_until_; }
 
@@ -44,7 +45,7 @@
   std::map<int, list> ranks_;
 };
 
-/// One target. Requests in flight keep it after it has left the list.
+/// One target. Requests in flight keep it alive after it is no longer listed.
 struct request_router::target
     : boost::intrusive_ref_counter<target, boost::thread_unsafe_counter> {
   target(target_entry listed, duration first_latency)
@@ -55,37 +56,37 @@
   target_entry entry;
   uint32_t short_id;
   target_health health;
-  bool has_told = false;  ///< Its load, since it was last passed on.
+  bool has_told = false;  ///< It reported its load since TakeLoads().
   target_availability availability;
-  /// It began to drain after this.
+  /// Earliest time at which it can have begun to drain.
   std::optional<time_point> draining_since;
   /// When it was first missing from the list.
   std::optional<time_point> missing_since;
-  /// Requests that wait for it, since only it has their key.
+  /// Requests that only this target can serve, as it owns their keys.
   waiting_queue queue;
 };
 
 /// One request from its arrival to its answer.
 struct request_router::request : boost::intrusive::list_base_hook<> {
   request_id id = 0;
-  route_table_ptr table;  ///< Keeps `by` alive.
+  route_table_ptr table;  ///< Keeps `matched_route` alive.
   const route* by = nullptr;
   service* at = nullptr;
   std::optional<key_point> key;
   uint64_t content = 0;
   time_point arrived{};
-  time_point expires{};       ///< An answer is due by then.
-  time_point caller_waits{};  ///< The caller leaves then.
-  time_point waits_since{};   ///< Of this wait; there is one for each send.
-  time_point wait_until{};    ///< Refused if not sent by then.
-  time_point not_before{};    ///< No send earlier.
-  int arrivals = 0;           ///< Sends that reached a target.
-  int unreachable = 0;        ///< Sends that reached none.
+  time_point expires{};       ///< Its deadline on this host.
+  time_point caller_waits{};  ///< When the caller gives up.
+  time_point waits_since{};   ///< Start of the wait for the next send.
+  time_point wait_until{};    ///< Refused if still waiting by then.
+  time_point not_before{};    ///< Earliest time of the next send.
+  int arrivals = 0;           ///< Attempts that reached a target.
+  int unreachable = 0;        ///< Attempts that reached no target.
   bool may_have_run = false;
-  bool has_answer = false;  ///< A target's failure is held to be passed on.
+  bool has_answer = false;  ///< A target's error answer is kept for the caller.
   target_ptr current;       ///< Set while an attempt is under way.
-  waiting_queue* queue = nullptr;  ///< Where it waits.
-  target_ptr waits_for;            ///< Whose queue that is, if a target's.
+  waiting_queue* queue = nullptr;  ///< Queue that it waits in.
+  target_ptr waits_for;            ///< Target that `queue` belongs to, if any.
   time_point sent{};
   std::optional<time_point> first_sent{};
   std::vector<target_ptr> tried;
@@ -93,8 +94,8 @@
   bool is_waiting() const { return is_linked(); }
   request_account Account(time_point now) const;
   bool WasTried(const target* one) const {
-    for (const target_ptr& each : tried) {
-      if (each.get() == one) {
+    for (const target_ptr& tried_target : tried) {
+      if (tried_target.get() == one) {
         return true;
       }
     }
@@ -102,15 +103,15 @@
   }
 };
 
-/// One service: its targets, its owners of keys and who waits for it.
+/// One service: its targets, the owners of its keys and its waiting requests.
 struct request_router::service {
   explicit service(std::string its_name, const retry_bounds& bounds)
       : name(std::move(its_name)), budget(bounds) {}
 
   target* FindLife(const target_life& life) {
-    for (const auto& each : targets) {
-      if (each->entry.life == life) {
-        return each.get();
+    for (const auto& candidate : targets) {
+      if (candidate->entry.life == life) {
+        return candidate.get();
       }
     }
     return nullptr;
@@ -119,19 +120,20 @@
   std::string name;
   bool keyed = false;
   cold_policy cold;
-  int in_flight = 0;    ///< Requests at its targets.
-  service_limit limit;  ///< Of `in_flight`, where targets tell their load.
+  int in_flight = 0;    ///< Attempts under way at its targets.
+  service_limit limit;  ///< Of `in_flight`, if targets report their load.
   std::vector<boost::intrusive_ptr<target>> targets;
   key_map owners;
-  /// When each range that is changing hands was first seen doing so, by fence.
+  /// When each range that is moving to a new owner was first seen moving, by
+  /// fence.
   std::map<fence_number, time_point> moving_since;
-  /// Those that wait for any target, or for their keys to get an owner.
+  /// Requests that wait for any target, or for their key to get an owner.
   waiting_queue queue;
   size_t waiting_count = 0;  ///< In all queues of the service.
   retry_budget budget;
-  /// Running share of attempts that a target refused to run.
+  /// Moving average of the fraction of attempts that targets shed.
   double shed_share = 0.0;
-  std::vector<key_point> keys_asked;  ///< One for each request.
+  std::vector<key_point> keys_asked;  ///< One entry for each request.
 };
 
 inline void request_router::waiting_queue::Add(request& waiting) {
@@ -144,35 +146,35 @@
 
 inline void request_router::waiting_queue::NoteRefused(const request& refused,
                                                        time_point now) {
-  const duration memory = OverloadTime(refused.by->objective);
-  // One refusal alone may come by chance.
-  if (now - refused_at_ < memory) {
-    overloaded_until_ = now + memory;
+  const duration overload_time = OverloadTime(refused.by->objective);
+  // A single refusal may be chance; two within that time mean overload.
+  if (now - refused_at_ < overload_time) {
+    overloaded_until_ = now + overload_time;
   }
   refused_at_ = now;
 }
 
 inline void request_router::waiting_queue::Clear() {
-  for (auto& [rank, each] : ranks_) {
-    each.clear();
+  for (auto& [rank, requests] : ranks_) {
+    requests.clear();
   }
 }
 
 inline size_t request_router::waiting_queue::AheadOf(int rank) const {
-  size_t ahead = 0;
-  for (const auto& [each, members] : ranks_) {
-    ahead += each <= rank ? members.size() : 0;
+  size_t count = 0;
+  for (const auto& [other_rank, requests] : ranks_) {
+    count += other_rank <= rank ? requests.size() : 0;
   }
-  return ahead;
+  return count;
 }
 
 inline request_account request_router::request::Account(time_point now) const {
-  request_account account{
+  request_account summary{
       .service = at->name, .attempts = arrivals, .age = now - arrived};
   if (first_sent) {
-    account.wait = *first_sent - arrived;
+    summary.wait = *first_sent - arrived;
   }
-  return account;
+  return summary;
 }
 
 }  // namespace foxtailspread
--- a/src/core/request_router_targets.cc
+++ b/src/core/request_router_targets.cc
@@ -1,5 +1,4 @@
-// What a router is told of the declarations, of the targets and of the owners
-// of keys.
+// Updates of the configuration, of the targets and of the owners of keys.
 
 #include <algorithm>
 #include <map>
@@ -12,66 +11,68 @@
 namespace foxtailspread {
 namespace {
 
-/// Latency assumed of a service that has served nothing here yet.
-constexpr duration kFirstLatency{std::chrono::milliseconds{100}};
+/// Latency assumed of a new target whose service has no other targets, and the
+/// minimum assumed of any new target.
+constexpr duration kInitialLatency{std::chrono::milliseconds{100}};
 
-/// How long a target that vanished from the list while the store was away is
-/// still used if there is no other. Its entry is back within two seconds if it
-/// lives, and two seconds after it left for good it must get no more work; the
-/// list may lag by most of the other second.
-constexpr duration kMissingGrace{std::chrono::milliseconds{900}};
+/// Time for which a target that disappeared from the list while the store was
+/// unavailable is still used if there is no other. A live target is listed
+/// again within 2 s. One that has left for good must get no request later than
+/// 2 s after it left, and the list may lag by most of the remaining 1.1 s.
+constexpr duration kMissingTargetGrace{std::chrono::milliseconds{900}};
 
-/// The part of a target's connections that all hosts use together. The rest is
-/// for hosts that are not counted yet and for connections being closed.
-constexpr double kConnectionShare = 0.8;
+/// Fraction of a target's connections that all hosts together use. The rest is
+/// reserved for hosts that are not counted yet and for connections that are
+/// being closed.
+constexpr double kUsableConnectionsFraction = 0.8;
 
 }  // namespace
 
 void request_router::OnConfig(route_table_ptr table, time_point now,
                               router_actions& out) {
   table_ = std::move(table);
-  for (const service_settings& each : table_->config().services) {
-    service& at = ServiceOf(each.name);
-    at.keyed = each.keyed;
-    at.cold = ColdPolicyOf(each);
+  for (const service_settings& settings : table_->config().services) {
+    service& service_state = ServiceOf(settings.name);
+    service_state.keyed = settings.keyed;
+    service_state.cold = ColdPolicyOf(settings);
   }
   LimitConnections();
-  for (auto& [name, each] : services_) {
-    Pump(*each, now, out);
+  for (auto& [name, service_state] : services_) {
+    Pump(*service_state, now, out);
   }
 }
 
-/// This host's part of the connections that a target takes from all hosts; 0
-/// for no limit. A target resets what goes beyond, and whether a request on
-/// such a connection ran is not known.
+/// Returns this host's share of the connections that a target accepts from all
+/// hosts; 0 for no limit. A target resets connections above its limit, and it
+/// is not known whether a request on such a connection ran.
 int request_router::ConnectionsAllowed(const std::string& service_name) const {
   const service_settings* settings =
       table_ ? table_->FindService(service_name) : nullptr;
   if (settings == nullptr || settings->max_connections <= 0) {
     return 0;
   }
-  const double part = settings->max_connections * kConnectionShare /
-                      static_cast<double>(hosts_);
-  return std::max(1, static_cast<int>(part));
+  const double share = settings->max_connections * kUsableConnectionsFraction /
+                       static_cast<double>(hosts_);
+  return std::max(1, static_cast<int>(share));
 }
 
 void request_router::LimitConnections() {
-  for (auto& [name, each] : services_) {
-    const int allowed = ConnectionsAllowed(name);
-    for (const auto& one : each->targets) {
-      one->health.SetShare(allowed, hosts_);
+  for (auto& [name, service_state] : services_) {
+    const int max_connections = ConnectionsAllowed(name);
+    for (const auto& known_target : service_state->targets) {
+      known_target->health.SetShare(max_connections, hosts_);
     }
-    ShareSlots(*each);
+    ShareSlots(*service_state);
   }
 }
 
-void request_router::ShareSlots(service& of) const {
+void request_router::ShareSlots(service& service_state) const {
   double slots = 0.0;
-  for (const auto& each : of.targets) {
-    slots += each->entry.draining ? 0.0 : each->entry.slots;
+  for (const auto& listed_target : service_state.targets) {
+    slots += listed_target->entry.draining ? 0.0 : listed_target->entry.slots;
   }
   if (slots > 0.0) {
-    of.limit.SetShare(slots, hosts_);
+    service_state.limit.SetShare(slots, hosts_);
   }
 }
 
@@ -81,114 +82,120 @@
   }
   hosts_ = hosts;
   LimitConnections();
-  for (auto& [name, each] : services_) {
-    each->budget.SetHosts(hosts);
+  for (auto& [name, service_state] : services_) {
+    service_state->budget.SetHosts(hosts);
   }
 }
 
-duration request_router::FirstLatency(const service& of) {
+duration request_router::FirstLatency(const service& service_state) {
   duration sum{0};
-  for (const auto& each : of.targets) {
-    sum += each->health.latency();
+  for (const auto& known_target : service_state.targets) {
+    sum += known_target->health.latency();
   }
-  const auto count = static_cast<int64_t>(of.targets.size());
-  return count == 0 ? kFirstLatency : std::max(kFirstLatency, sum / count);
+  const auto count = static_cast<int64_t>(service_state.targets.size());
+  return count == 0 ? kInitialLatency : std::max(kInitialLatency, sum / count);
 }
 
 void request_router::OnTargets(const std::vector<target_entry>& targets,
-                               bool doubtful, time_point same_until,
-                               time_point now, router_actions& out) {
+                               bool may_be_incomplete,
+                               time_point unchanged_until, time_point now,
+                               router_actions& out) {
   std::unordered_set<const target*> listed;
   for (const target_entry& entry : targets) {
-    service& at = ServiceOf(entry.service);
-    target* known = at.FindLife(entry.life);
+    service& service_state = ServiceOf(entry.service);
+    target* known_target = service_state.FindLife(entry.life);
     const bool is_new =
-        known == nullptr || known->entry.address != entry.address;
+        known_target == nullptr || known_target->entry.address != entry.address;
     if (is_new) {
-      at.targets.push_back(new target(entry, FirstLatency(at)));
-      known = at.targets.back().get();
-      known->health.SetShare(ConnectionsAllowed(entry.service), hosts_);
+      service_state.targets.push_back(
+          new target(entry, FirstLatency(service_state)));
+      known_target = service_state.targets.back().get();
+      known_target->health.SetShare(ConnectionsAllowed(entry.service), hosts_);
     }
-    if (is_new || !(known->entry == entry)) {
-      known->availability.OnEntry(entry, at.cold, now);
+    if (is_new || !(known_target->entry == entry)) {
+      known_target->availability.OnEntry(entry, service_state.cold, now);
     }
-    known->entry = entry;
-    known->availability.OnEvacuated(evacuated_zones_.contains(entry.zone),
-                                    at.cold, now);
-    known->missing_since.reset();
+    known_target->entry = entry;
+    known_target->availability.OnEvacuated(
+        evacuated_zones_.contains(entry.zone), service_state.cold, now);
+    known_target->missing_since.reset();
     if (!entry.draining) {
-      known->draining_since.reset();
-    } else if (!known->draining_since) {
-      known->draining_since = same_until;
+      known_target->draining_since.reset();
+    } else if (!known_target->draining_since) {
+      known_target->draining_since = unchanged_until;
     }
-    listed.insert(known);
+    listed.insert(known_target);
   }
-  if (!doubtful) {
+  if (!may_be_incomplete) {
     crashes_.OnListed(
         [&](const target_life& life) {
           return std::any_of(
               targets.begin(), targets.end(),
-              [&](const target_entry& each) { return each.life == life; });
+              [&](const target_entry& entry) { return entry.life == life; });
         },
         now);
   }
-  for (auto& [name, at] : services_) {
-    std::erase_if(at->targets, [&](const auto& each) {
-      if (listed.contains(each.get())) {
+  for (auto& [name, service_state] : services_) {
+    std::erase_if(service_state->targets, [&](const auto& known_target) {
+      if (listed.contains(known_target.get())) {
         return false;
       }
-      if (!each->missing_since) {
-        each->missing_since = now;
+      if (!known_target->missing_since) {
+        known_target->missing_since = now;
       }
-      return !doubtful || IsRetired(*each, now);
+      return !may_be_incomplete || IsRetired(*known_target, now);
     });
-    ShareSlots(*at);
-    RedistributeQueues(*at);
-    Pump(*at, now, out);
+    ShareSlots(*service_state);
+    RedistributeQueues(*service_state);
+    Pump(*service_state, now, out);
   }
 }
 
 void request_router::OnEvacuations(std::set<std::string> zones, time_point now,
                                    router_actions& out) {
   evacuated_zones_ = std::move(zones);
-  for (auto& [name, at] : services_) {
-    for (const auto& each : at->targets) {
-      each->availability.OnEvacuated(
-          evacuated_zones_.contains(each->entry.zone), at->cold, now);
+  for (auto& [name, service_state] : services_) {
+    for (const auto& known_target : service_state->targets) {
+      known_target->availability.OnEvacuated(
+          evacuated_zones_.contains(known_target->entry.zone),
+          service_state->cold, now);
     }
-    Pump(*at, now, out);
+    Pump(*service_state, now, out);
   }
 }
 
-bool request_router::IsOpen(const target& of, time_point now) {
-  return !of.entry.draining && of.availability.IsOpen(now);
+bool request_router::IsOpen(const target& candidate, time_point now) {
+  return !candidate.entry.draining && candidate.availability.IsOpen(now);
 }
 
-bool request_router::IsRetired(const target& of, time_point now) {
-  return of.missing_since && now - *of.missing_since >= kMissingGrace;
+bool request_router::IsRetired(const target& candidate, time_point now) {
+  return candidate.missing_since &&
+         now - *candidate.missing_since >= kMissingTargetGrace;
 }
 
-void request_router::DropRetired(service& from, time_point now) {
-  std::erase_if(from.targets,
-                [&](const auto& each) { return IsRetired(*each, now); });
+void request_router::DropRetired(service& service_state, time_point now) {
+  std::erase_if(service_state.targets, [&](const auto& candidate) {
+    return IsRetired(*candidate, now);
+  });
 }
 
 void request_router::OnKeyMap(const std::string& service_name,
                               const key_map& map, time_point now,
                               router_actions& out) {
-  service& at = ServiceOf(service_name);
-  std::map<fence_number, time_point> moving;
+  service& service_state = ServiceOf(service_name);
+  std::map<fence_number, time_point> moving_since;
   for (const key_range& range : map.ranges) {
     if (!range.granted) {
-      const auto known = at.moving_since.find(range.fence);
-      moving[range.fence] =
-          known == at.moving_since.end() ? now : known->second;
+      const auto known_range = service_state.moving_since.find(range.fence);
+      moving_since[range.fence] =
+          known_range == service_state.moving_since.end() ? now
+                                                          : known_range->second;
     }
   }
-  at.moving_since = std::move(moving);
-  at.owners = map;
-  RedistributeQueues(at);
-  Pump(at, now, out);
+  service_state.moving_since = std::move(moving_since);
+  service_state.owners = map;
+  RedistributeQueues(service_state);
+  Pump(service_state, now, out);
 }
 
 }  // namespace foxtailspread
--- a/src/core/request_router_waiting.cc
+++ b/src/core/request_router_waiting.cc
@@ -1,6 +1,7 @@
-// Who waits where, and who is sent first when there is room. Load patterns:
-// bursts beyond what the targets can do, and keys whose owner has more to do
-// than others.
+// Queues of waiting requests and the order in which they are sent.
+//
+// Load patterns that these rules are made for: bursts above the capacity of the
+// targets, and keys whose owner has more load than other targets.
 
 #include <algorithm>
 #include <vector>
@@ -11,43 +12,46 @@
 
 namespace foxtailspread {
 
-request_router::waiting_queue& request_router::QueueOf(service& at,
+request_router::waiting_queue& request_router::QueueOf(service& service_state,
                                                        target* owner) {
-  return owner == nullptr ? at.queue : owner->queue;
+  return owner == nullptr ? service_state.queue : owner->queue;
 }
 
-void request_router::JoinQueue(request& waiting) {
-  service& at = *waiting.at;
-  waiting.waits_for = FindOwner(at, waiting);
-  waiting.queue = &QueueOf(at, waiting.waits_for.get());
-  waiting.queue->Add(waiting);
-  ++at.waiting_count;
+void request_router::JoinQueue(request& pending_request) {
+  service& service_state = *pending_request.at;
+  pending_request.waits_for = FindOwner(service_state, pending_request);
+  pending_request.queue =
+      &QueueOf(service_state, pending_request.waits_for.get());
+  pending_request.queue->Add(pending_request);
+  ++service_state.waiting_count;
 }
 
-void request_router::LeaveQueue(request& waiting) {
-  if (!waiting.is_waiting()) {
+void request_router::LeaveQueue(request& pending_request) {
+  if (!pending_request.is_waiting()) {
     return;
   }
-  waiting.queue->Remove(waiting);
-  waiting.queue = nullptr;
-  waiting.waits_for.reset();
-  --waiting.at->waiting_count;
+  pending_request.queue->Remove(pending_request);
+  pending_request.queue = nullptr;
+  pending_request.waits_for.reset();
+  --pending_request.at->waiting_count;
 }
 
-void request_router::Wait(request& waiting, time_point now) {
-  waiting.waits_since = now;
-  JoinQueue(waiting);
-  Schedule(std::min(waiting.wait_until, now + kRecheck), waiting.id);
+void request_router::Wait(request& pending_request, time_point now) {
+  pending_request.waits_since = now;
+  JoinQueue(pending_request);
+  Schedule(std::min(pending_request.wait_until, now + kRecheck),
+           pending_request.id);
 }
 
-void request_router::RedistributeQueues(service& of) {
-  if (!of.keyed || of.waiting_count == 0) {
+void request_router::RedistributeQueues(service& service_state) {
+  if (!service_state.keyed || service_state.waiting_count == 0) {
     return;
   }
   std::vector<request*> waiting;
-  for (auto& [id, each] : requests_) {
-    if (each->at == &of && each->is_waiting()) {
-      waiting.push_back(each.get());
+  for (auto& [id, pending_request] : requests_) {
+    if (pending_request->at == &service_state &&
+        pending_request->is_waiting()) {
+      waiting.push_back(pending_request.get());
     }
   }
   std::sort(waiting.begin(), waiting.end(),
@@ -55,54 +59,57 @@
               return a->waits_since < b->waits_since ||
                      (a->waits_since == b->waits_since && a->id < b->id);
             });
-  for (request* each : waiting) {
-    LeaveQueue(*each);
-    JoinQueue(*each);
+  for (request* pending_request : waiting) {
+    LeaveQueue(*pending_request);
+    JoinQueue(*pending_request);
   }
 }
 
-void request_router::Pump(service& pumped, time_point now,
+void request_router::Pump(service& service_state, time_point now,
                           router_actions& out) {
-  PumpQueue(pumped.queue, now, out);
-  if (!pumped.keyed || pumped.waiting_count == 0) {
+  PumpQueue(service_state.queue, now, out);
+  if (!service_state.keyed || service_state.waiting_count == 0) {
     return;
   }
-  for (const auto& each : pumped.targets) {
-    PumpQueue(each->queue, now, out);
+  for (const auto& owner : service_state.targets) {
+    PumpQueue(owner->queue, now, out);
   }
 }
 
-void request_router::PumpAfter(service& at, const target_ptr& freed,
-                               time_point now, router_actions& out) {
-  PumpQueue(at.keyed && freed ? freed->queue : at.queue, now, out);
+void request_router::PumpAfter(service& service_state,
+                               const target_ptr& freed_target, time_point now,
+                               router_actions& out) {
+  PumpQueue(service_state.keyed && freed_target ? freed_target->queue
+                                                : service_state.queue,
+            now, out);
 }
 
 void request_router::PumpQueue(waiting_queue& queue, time_point now,
                                router_actions& out) {
-  std::vector<request*> turn;
-  for (auto& [rank, members] : queue.ranks()) {
-    if (members.empty()) {
+  std::vector<request*> send_order;
+  for (auto& [rank, requests] : queue.ranks()) {
+    if (requests.empty()) {
       continue;
     }
-    const request& oldest = members.front();
+    const request& oldest = requests.front();
     const bool newest_first =
         GoesNewestFirst(now - oldest.waits_since, oldest.by->objective);
-    turn.clear();
-    for (request& each : members) {
-      turn.push_back(&each);
+    send_order.clear();
+    for (request& pending_request : requests) {
+      send_order.push_back(&pending_request);
     }
     if (newest_first) {
-      std::reverse(turn.begin(), turn.end());
+      std::reverse(send_order.begin(), send_order.end());
     }
-    for (request* next : turn) {
+    for (request* next : send_order) {
       if (next->not_before > now) {
         continue;
       }
       const bool sent = TrySend(*next, now, out);
-      // What one that may go to any of the queue's targets does not find, none
-      // of the others finds.
-      const bool same_for_all = next->waits_for || !next->at->keyed;
-      if (!sent && same_for_all && next->tried.empty()) {
+      // If a request that may go to every target of the queue finds no free
+      // slot, the requests behind it find none either.
+      const bool same_targets_for_all = next->waits_for || !next->at->keyed;
+      if (!sent && same_targets_for_all && next->tried.empty()) {
         return;
       }
     }
