--- a/tests/request_router_test.cc
+++ b/tests/request_router_test.cc
@@ -11,14 +11,14 @@
 using std::chrono::seconds;
 
 template <typename Action>
-std::vector<Action> Only(const router_actions& actions) {
-  std::vector<Action> found;
-  for (const router_action& each : actions) {
-    if (const auto* one = std::get_if<Action>(&each)) {
-      found.push_back(*one);
+std::vector<Action> ActionsOf(const router_actions& actions) {
+  std::vector<Action> matching;
+  for (const router_action& action : actions) {
+    if (const auto* typed_action = std::get_if<Action>(&action)) {
+      matching.push_back(*typed_action);
     }
   }
-  return found;
+  return matching;
 }
 
 class RequestRouterTest : public ::testing::Test {
@@ -37,8 +37,8 @@
       AddTarget("orders", "o" + std::to_string(i));
       AddTarget("reports", "r" + std::to_string(i));
     }
-    Apply();
-    OwnKeys("r0", true);
+    ApplyConfig();
+    SetKeyOwner("r0", true);
   }
 
   void AddService(const std::string& name, bool keyed) {
@@ -50,16 +50,16 @@
 
   void AddRoute(const std::string& prefix, const std::string& service,
                 repeat_rule repeat) {
-    route added;
-    added.name = prefix;
-    added.host = "shop.example";
-    added.prefix = prefix;
-    added.repeat = repeat;
-    added.objective = milliseconds{400};
-    added.timeout = seconds{2};
-    added.max_attempts = 2;
-    added.services = {{.service = service}};
-    config_.routes.push_back(added);
+    route new_route;
+    new_route.name = prefix;
+    new_route.host = "shop.example";
+    new_route.prefix = prefix;
+    new_route.repeat = repeat;
+    new_route.objective = milliseconds{400};
+    new_route.timeout = seconds{2};
+    new_route.max_attempts = 2;
+    new_route.services = {{.service = service}};
+    config_.routes.push_back(new_route);
   }
 
   void AddTarget(const std::string& service, const std::string& id) {
@@ -72,13 +72,14 @@
     targets_.push_back(entry);
   }
 
-  void Apply() {
-    router_actions ignored;
-    router_.OnConfig(route_table_ptr{new route_table(config_)}, now_, ignored);
-    router_.OnTargets(targets_, false, now_, now_, ignored);
+  void ApplyConfig() {
+    router_actions ignored_actions;
+    router_.OnConfig(route_table_ptr{new route_table(config_)}, now_,
+                     ignored_actions);
+    router_.OnTargets(targets_, false, now_, now_, ignored_actions);
   }
 
-  void OwnKeys(const std::string& id, bool granted) {
+  void SetKeyOwner(const std::string& id, bool granted) {
     key_map map;
     map.last_fence = ++fence_;
     map.ranges = {{.owner = {.id = id, .started = 1},
@@ -88,8 +89,8 @@
     router_.OnKeyMap("reports", map, now_, actions_);
   }
 
-  /// Sends a request in and returns what the router did.
-  const router_actions& Ask(request_id id, std::string_view path) {
+  /// Passes a request to the router and returns the router's actions.
+  const router_actions& SendRequest(request_id id, std::string_view path) {
     actions_.clear();
     router_.OnRequest({.id = id,
                        .host = "shop.example",
@@ -101,13 +102,13 @@
     return actions_;
   }
 
-  const router_actions& End(request_id id, attempt_verdict verdict) {
+  const router_actions& EndAttempt(request_id id, attempt_verdict verdict) {
     actions_.clear();
     router_.OnAttemptEnded({.id = id, .verdict = verdict}, now_, actions_);
     return actions_;
   }
 
-  const router_actions& Wait(duration time) {
+  const router_actions& AdvanceTime(duration time) {
     actions_.clear();
     const time_point until = now_ + time;
     while (router_.NextDue() <= until) {
@@ -128,26 +129,28 @@
 };
 
 TEST_F(RequestRouterTest, RequestGoesToATargetOfItsRoutesService) {
-  const auto sent = Only<send_action>(Ask(1, "/orders/7"));
+  const auto sent = ActionsOf<send_action>(SendRequest(1, "/orders/7"));
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_EQ(sent[0].target.id.front(), 'o');
   EXPECT_EQ(sent[0].time_left, seconds{2});
-  EXPECT_EQ(Only<deliver_action>(End(1, attempt_verdict::kServed)).size(), 1U);
+  EXPECT_EQ(
+      ActionsOf<deliver_action>(EndAttempt(1, attempt_verdict::kServed)).size(),
+      1U);
 }
 
-TEST_F(RequestRouterTest, UnknownPathIsRefusedForGood) {
-  const auto refused = Only<own_answer_action>(Ask(1, "/else/7"));
+TEST_F(RequestRouterTest, UnknownPathIsRefusedAsNoRoute) {
+  const auto refused = ActionsOf<own_answer_action>(SendRequest(1, "/else/7"));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].answer, own_answer::kNoRoute);
 }
 
-// A host that has just started knows no declarations yet. A refusal for good
-// would tell callers that their route is gone.
-TEST_F(RequestRouterTest, HostWithoutDeclarationsAsksCallersToComeBack) {
-  request_router fresh({.zone = "here", .retries = {}, .seed = 1});
-  fresh.OnRequest({.id = 1, .host = "shop.example", .path = "/orders/"}, now_,
-                  actions_);
-  const auto refused = Only<own_answer_action>(actions_);
+// A host that has just started has no configuration yet. A permanent error
+// would tell callers that their route doesn't exist.
+TEST_F(RequestRouterTest, HostWithoutConfigurationAsksCallersToRetry) {
+  request_router new_router({.zone = "here", .retries = {}, .seed = 1});
+  new_router.OnRequest({.id = 1, .host = "shop.example", .path = "/orders/"},
+                       now_, actions_);
+  const auto refused = ActionsOf<own_answer_action>(actions_);
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].answer, own_answer::kNotRun);
   EXPECT_TRUE(refused[0].retry_after);
@@ -155,45 +158,48 @@
 
 TEST_F(RequestRouterTest, KeyedRequestGoesToTheOwnerOnly) {
   for (request_id id = 1; id <= 4; ++id) {
-    const auto sent = Only<send_action>(Ask(id, "/reports/7"));
+    const auto sent = ActionsOf<send_action>(SendRequest(id, "/reports/7"));
     ASSERT_EQ(sent.size(), 1U);
     EXPECT_EQ(sent[0].target.id, "r0");
   }
 }
 
-// Keys change hands while a request for them arrives. Sent to the former owner
-// it would be refused, and its caller would have to come again.
+// Keys are moving to a new owner when a request for them arrives. The former
+// owner would refuse the request, and the caller would have to retry.
 TEST_F(RequestRouterTest, RequestForMovingKeysWaitsForTheNewOwner) {
-  OwnKeys("r1", false);
-  EXPECT_TRUE(Ask(1, "/reports/7").empty());
+  SetKeyOwner("r1", false);
+  EXPECT_TRUE(SendRequest(1, "/reports/7").empty());
   now_ += milliseconds{50};
-  OwnKeys("r1", true);
-  const auto sent = Only<send_action>(actions_);
+  SetKeyOwner("r1", true);
+  const auto sent = ActionsOf<send_action>(actions_);
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_EQ(sent[0].target.id, "r1");
 }
 
-// Two requests for moving keys were refused, since that move took long. The
-// next keys that move have a new owner in a moment; refused at once, their
-// callers would come again for nothing.
-TEST_F(RequestRouterTest, RefusalsInOneMoveDoNotEndTheWaitInTheNext) {
-  OwnKeys("r1", false);
-  Ask(1, "/reports/7");
-  Ask(2, "/reports/7");
-  ASSERT_EQ(Only<own_answer_action>(Wait(milliseconds{350})).size(), 2U);
-  OwnKeys("r2", false);
-  Ask(3, "/reports/7");
-  EXPECT_TRUE(Wait(milliseconds{40}).empty());
-  OwnKeys("r2", true);
-  EXPECT_EQ(Only<send_action>(actions_).size(), 1U);
-}
-
-// A lost owner's keys wait for seconds until its grant ends. Callers that are
-// held until then, to be refused, lose time that they need to come back.
+// Two requests for moving keys are refused because the move takes long. These
+// refusals must not count as overload: the next keys that move soon have a new
+// owner, and requests for them must wait instead of being refused at once.
+TEST_F(RequestRouterTest, RefusalsDuringOneMoveDoNotCountAsOverload) {
+  SetKeyOwner("r1", false);
+  SendRequest(1, "/reports/7");
+  SendRequest(2, "/reports/7");
+  ASSERT_EQ(ActionsOf<own_answer_action>(AdvanceTime(milliseconds{350})).size(),
+            2U);
+  SetKeyOwner("r2", false);
+  SendRequest(3, "/reports/7");
+  EXPECT_TRUE(AdvanceTime(milliseconds{40}).empty());
+  SetKeyOwner("r2", true);
+  EXPECT_EQ(ActionsOf<send_action>(actions_).size(), 1U);
+}
+
+// The keys of a lost owner get a new one only when its grant expires, seconds
+// later. Callers that are held until then and refused lose time that they need
+// for a retry.
 TEST_F(RequestRouterTest, RequestForKeysOfALostOwnerIsRefusedAtOnce) {
-  OwnKeys("r1", false);
+  SetKeyOwner("r1", false);
   now_ += seconds{1};
-  const auto refused = Only<own_answer_action>(Ask(1, "/reports/7"));
+  const auto refused =
+      ActionsOf<own_answer_action>(SendRequest(1, "/reports/7"));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].reason, refusal_reason::kNoOwner);
   EXPECT_EQ(refused[0].answer, own_answer::kNotRun);
@@ -201,74 +207,85 @@
   EXPECT_LE(*refused[0].retry_after, seconds{1});
 }
 
-// The answer to an order is lost. It may have been carried out: a second send
-// could place it twice, and a word that it was not run would be a lie.
+// The answer to an order is lost, and the order may have been executed. Sending
+// it again could execute it twice, and the answer must not claim that it was
+// not run.
 TEST_F(RequestRouterTest, BrokenOrderIsNeverSentAgain) {
-  Ask(1, "/orders/7");
-  const auto& actions = End(1, attempt_verdict::kBroken);
-  EXPECT_TRUE(Only<send_action>(actions).empty());
-  const auto refused = Only<own_answer_action>(actions);
+  SendRequest(1, "/orders/7");
+  const auto& actions = EndAttempt(1, attempt_verdict::kBroken);
+  EXPECT_TRUE(ActionsOf<send_action>(actions).empty());
+  const auto refused = ActionsOf<own_answer_action>(actions);
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].answer, own_answer::kUnknown);
   EXPECT_FALSE(refused[0].retry_after);
 }
 
-// A target says that it did not run the order for want of room. Another one
-// may have room.
+// A target sheds an order without running it because it has no free slot.
+// Another target may have one.
 TEST_F(RequestRouterTest, ShedOrderIsSentToAnotherTarget) {
-  const auto first = Only<send_action>(Ask(1, "/orders/7"));
-  const auto second = Only<send_action>(End(1, attempt_verdict::kShed));
+  const auto first = ActionsOf<send_action>(SendRequest(1, "/orders/7"));
+  const auto second =
+      ActionsOf<send_action>(EndAttempt(1, attempt_verdict::kShed));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(second[0].target.id, first.at(0).target.id);
 }
 
 TEST_F(RequestRouterTest, ShedOrderStopsAtTheRoutesAttempts) {
-  Ask(1, "/orders/7");
-  End(1, attempt_verdict::kShed);
-  const auto refused = Only<own_answer_action>(End(1, attempt_verdict::kShed));
+  SendRequest(1, "/orders/7");
+  EndAttempt(1, attempt_verdict::kShed);
+  const auto refused =
+      ActionsOf<own_answer_action>(EndAttempt(1, attempt_verdict::kShed));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].answer, own_answer::kNotRun);
   EXPECT_TRUE(refused[0].retry_after);
 }
 
 TEST_F(RequestRouterTest, BrokenLookupIsSentAgain) {
-  Ask(1, "/looks/7");
-  EXPECT_EQ(Only<send_action>(End(1, attempt_verdict::kBroken)).size(), 1U);
-}
-
-// Once an attempt may have run, no later refusal may say that it has not.
-TEST_F(RequestRouterTest, LookupThatBrokeOnceIsNeverSaidNotToHaveRun) {
-  Ask(1, "/looks/7");
-  End(1, attempt_verdict::kBroken);
-  const auto refused = Only<own_answer_action>(End(1, attempt_verdict::kShed));
+  SendRequest(1, "/looks/7");
+  EXPECT_EQ(
+      ActionsOf<send_action>(EndAttempt(1, attempt_verdict::kBroken)).size(),
+      1U);
+}
+
+// Once an attempt may have run, no later refusal may claim that the request was
+// not run.
+TEST_F(RequestRouterTest, LookupThatBrokeOnceIsNeverReportedAsNotRun) {
+  SendRequest(1, "/looks/7");
+  EndAttempt(1, attempt_verdict::kBroken);
+  const auto refused =
+      ActionsOf<own_answer_action>(EndAttempt(1, attempt_verdict::kShed));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].answer, own_answer::kUnknown);
 }
 
-TEST_F(RequestRouterTest, TargetsOwnFailureOfAnOrderIsPassedOn) {
-  Ask(1, "/orders/7");
-  EXPECT_EQ(Only<deliver_action>(End(1, attempt_verdict::kFailed)).size(), 1U);
+TEST_F(RequestRouterTest, ErrorAnswerToAnOrderIsPassedOn) {
+  SendRequest(1, "/orders/7");
+  EXPECT_EQ(
+      ActionsOf<deliver_action>(EndAttempt(1, attempt_verdict::kFailed)).size(),
+      1U);
 }
 
-// Nobody listens at a target's address. No byte was sent, so that even an
-// order may go elsewhere, and it takes nothing off the retry budget.
-TEST_F(RequestRouterTest, UnreachableTargetCostsNoAttempt) {
-  Ask(1, "/orders/7");
-  ASSERT_EQ(Only<send_action>(End(1, attempt_verdict::kUnreachable)).size(),
+// Nothing listens at a target's address. No byte was sent, so that even an
+// order may be sent to another target, without using the retry budget.
+TEST_F(RequestRouterTest, UnreachableTargetUsesNoRetry) {
+  SendRequest(1, "/orders/7");
+  ASSERT_EQ(ActionsOf<send_action>(EndAttempt(1, attempt_verdict::kUnreachable))
+                .size(),
             1U);
-  ASSERT_EQ(Only<send_action>(End(1, attempt_verdict::kUnreachable)).size(),
+  ASSERT_EQ(ActionsOf<send_action>(EndAttempt(1, attempt_verdict::kUnreachable))
+                .size(),
             1U);
   EXPECT_EQ(router_.counts().repeats, 0U);
 }
 
-// A service fails as a whole. Every repeat would only add to its load, so all
-// together stay within the budget.
-TEST_F(RequestRouterTest, RepeatsStayWithinTheBudget) {
+// All targets of a service break every attempt. Retries only add to the load,
+// so that their total must stay within the retry budget.
+TEST_F(RequestRouterTest, RetriesStayWithinTheBudget) {
   constexpr request_id kRequests = 400;
   for (request_id id = 1; id <= kRequests; ++id) {
-    Ask(id, "/looks/7");
+    SendRequest(id, "/looks/7");
     for (int i = 0; i < 3; ++i) {
-      End(id, attempt_verdict::kBroken);
+      EndAttempt(id, attempt_verdict::kBroken);
     }
     now_ += milliseconds{10};
   }
@@ -276,60 +293,65 @@
   EXPECT_LE(router_.counts().repeats, 0.2 * kRequests + 40.0);
 }
 
-// All targets of a service fail most requests. Leaving all of them alone would
-// turn a bad service into none.
-TEST_F(RequestRouterTest, ServiceWhoseTargetsAllFailIsStillTried) {
+// All targets of a service fail every request. If all of them were excluded,
+// the service would be unavailable instead of degraded.
+TEST_F(RequestRouterTest, ServiceWhoseTargetsAllFailStillGetsRequests) {
   for (request_id id = 1; id <= 40; ++id) {
-    const auto sent = Only<send_action>(Ask(id, "/orders/7"));
+    const auto sent = ActionsOf<send_action>(SendRequest(id, "/orders/7"));
     ASSERT_EQ(sent.size(), 1U) << id;
-    End(id, attempt_verdict::kFailed);
+    EndAttempt(id, attempt_verdict::kFailed);
   }
 }
 
-// One target of several fails its requests, which it does faster than the
-// others work. It would draw more and more of them.
-TEST_F(RequestRouterTest, TargetThatFailsIsLeftAloneForAWhile) {
+// One target of several fails its requests, and does so faster than the others
+// serve theirs. Chosen by latency alone, it would attract more and more
+// requests.
+TEST_F(RequestRouterTest, FailingTargetGetsFewRequests) {
   int to_failing = 0;
   for (request_id id = 1; id <= 300; ++id) {
     now_ += milliseconds{10};
-    const auto sent = Only<send_action>(Ask(id, "/orders/7"));
+    const auto sent = ActionsOf<send_action>(SendRequest(id, "/orders/7"));
     ASSERT_EQ(sent.size(), 1U);
-    const bool failing = sent[0].target.id == "o0";
-    to_failing += failing ? 1 : 0;
-    now_ += milliseconds{failing ? 1 : 20};
-    End(id, failing ? attempt_verdict::kFailed : attempt_verdict::kServed);
+    const bool is_failing = sent[0].target.id == "o0";
+    to_failing += is_failing ? 1 : 0;
+    now_ += milliseconds{is_failing ? 1 : 20};
+    EndAttempt(
+        id, is_failing ? attempt_verdict::kFailed : attempt_verdict::kServed);
   }
   EXPECT_LT(to_failing, 60);
 }
 
-// The caller is gone. Work that goes on for nobody takes a slot from others.
-TEST_F(RequestRouterTest, CallerThatLeavesEndsItsAttempt) {
-  Ask(1, "/orders/7");
+// The caller disconnects. If its request kept running, it would use a slot that
+// other requests need.
+TEST_F(RequestRouterTest, DisconnectOfTheCallerCancelsItsAttempt) {
+  SendRequest(1, "/orders/7");
   actions_.clear();
   router_.OnCallerGone(1, now_, actions_);
-  EXPECT_EQ(Only<cancel_action>(actions_).size(), 1U);
+  EXPECT_EQ(ActionsOf<cancel_action>(actions_).size(), 1U);
   EXPECT_EQ(router_.pending(), 0U);
 }
 
-TEST_F(RequestRouterTest, RequestPastItsTimeoutIsAnswered) {
-  Ask(1, "/orders/7");
-  const auto& actions = Wait(milliseconds{2001});
-  EXPECT_EQ(Only<cancel_action>(actions).size(), 1U);
-  const auto refused = Only<own_answer_action>(actions);
+TEST_F(RequestRouterTest, RequestPastItsTimeoutIsCancelledAndAnswered) {
+  SendRequest(1, "/orders/7");
+  const auto& actions = AdvanceTime(milliseconds{2001});
+  EXPECT_EQ(ActionsOf<cancel_action>(actions).size(), 1U);
+  const auto refused = ActionsOf<own_answer_action>(actions);
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].answer, own_answer::kTimedOut);
 }
 
-// A target takes fifty connections from all hosts together and resets the
-// rest; what was sent on those can neither be repeated nor called not run.
-TEST_F(RequestRouterTest, RequestsAtATargetStayWithinItsConnections) {
+// A target accepts 50 connections from all hosts together and resets the rest.
+// Requests sent on a reset connection can neither be retried nor be reported as
+// not run.
+TEST_F(RequestRouterTest, RequestsAtATargetStayWithinItsConnectionLimit) {
   config_.services[0].max_connections = 50;
-  Apply();
+  ApplyConfig();
   router_.OnHostCount(12);
   std::map<std::string, int> sent;
   for (request_id id = 1; id <= 60; ++id) {
-    for (const auto& each : Only<send_action>(Ask(id, "/orders/7"))) {
-      ++sent[each.target.id];
+    for (const auto& action :
+         ActionsOf<send_action>(SendRequest(id, "/orders/7"))) {
+      ++sent[action.target.id];
     }
   }
   for (const auto& [id, count] : sent) {
@@ -337,167 +359,183 @@
   }
 }
 
-// The connection to a target hangs until the deadline. No byte was sent, so
-// that even an order may be called not run, and its caller can try again.
-TEST_F(RequestRouterTest, DeadlineWhileConnectingMayBeCalledNotRun) {
-  Ask(1, "/orders/7");
-  const auto refused = Only<own_answer_action>(Wait(milliseconds{2001}));
-  ASSERT_EQ(refused.size(), 1U);
-  EXPECT_TRUE(refused[0].not_run_if_unwritten);
-  Ask(2, "/looks/7");
-  End(2, attempt_verdict::kBroken);
-  const auto again = Only<own_answer_action>(Wait(milliseconds{2001}));
-  ASSERT_EQ(again.size(), 1U);
-  EXPECT_FALSE(again[0].not_run_if_unwritten);
-}
-
-// A target says that it leaves: from then on it gets no new work.
-TEST_F(RequestRouterTest, DrainingTargetGetsNothingNew) {
-  for (target_entry& each : targets_) {
-    each.draining = each.life.id == "o0" || each.life.id == "o1";
+// Connecting to a target hangs until the deadline. No byte was sent, so that
+// even an order may be reported as not run, and its caller can retry.
+TEST_F(RequestRouterTest,
+       RequestThatTimesOutWhileConnectingMayBeReportedAsNotRun) {
+  SendRequest(1, "/orders/7");
+  const auto first_refusal =
+      ActionsOf<own_answer_action>(AdvanceTime(milliseconds{2001}));
+  ASSERT_EQ(first_refusal.size(), 1U);
+  EXPECT_TRUE(first_refusal[0].not_run_if_unwritten);
+  SendRequest(2, "/looks/7");
+  EndAttempt(2, attempt_verdict::kBroken);
+  const auto second_refusal =
+      ActionsOf<own_answer_action>(AdvanceTime(milliseconds{2001}));
+  ASSERT_EQ(second_refusal.size(), 1U);
+  EXPECT_FALSE(second_refusal[0].not_run_if_unwritten);
+}
+
+// A target that announces that it drains gets no new requests.
+TEST_F(RequestRouterTest, DrainingTargetGetsNoNewRequests) {
+  for (target_entry& entry : targets_) {
+    entry.draining = entry.life.id == "o0" || entry.life.id == "o1";
   }
-  Apply();
+  ApplyConfig();
   for (request_id id = 1; id <= 5; ++id) {
-    const auto sent = Only<send_action>(Ask(id, "/orders/7"));
+    const auto sent = ActionsOf<send_action>(SendRequest(id, "/orders/7"));
     ASSERT_EQ(sent.size(), 1U);
     EXPECT_EQ(sent[0].target.id, "o2");
   }
 }
 
-// An order kills each target that begins it, and its caller sends it again as
-// a new attempt. After two targets it must reach no third; its caller is told
-// at once, and other orders go on.
-TEST_F(RequestRouterTest, ContentThatCrashesItsTargetsReachesNoThird) {
+// An order crashes every target that starts it, and its caller retries it as a
+// new request. After two crashes it must reach no third target and is refused
+// at once, while other orders are still served.
+TEST_F(RequestRouterTest, ContentThatCrashedTwoTargetsReachesNoThird) {
   content_ = 5;
   for (request_id id = 1; id <= 2; ++id) {
-    const auto sent = Only<send_action>(Ask(id, "/orders/7"));
+    const auto sent = ActionsOf<send_action>(SendRequest(id, "/orders/7"));
     ASSERT_EQ(sent.size(), 1U);
-    End(id, attempt_verdict::kBroken);
-    std::erase_if(targets_, [&](const target_entry& each) {
-      return each.life == sent[0].target;
+    EndAttempt(id, attempt_verdict::kBroken);
+    std::erase_if(targets_, [&](const target_entry& entry) {
+      return entry.life == sent[0].target;
     });
     now_ += seconds{1};
-    Apply();
+    ApplyConfig();
   }
-  const auto refused = Only<own_answer_action>(Ask(3, "/orders/7"));
+  const auto refused =
+      ActionsOf<own_answer_action>(SendRequest(3, "/orders/7"));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].reason, refusal_reason::kCrashesTargets);
   EXPECT_EQ(refused[0].answer, own_answer::kNotRun);
   content_ = 6;
-  EXPECT_EQ(Only<send_action>(Ask(4, "/orders/8")).size(), 1U);
+  EXPECT_EQ(ActionsOf<send_action>(SendRequest(4, "/orders/8")).size(), 1U);
 }
 
-// A key has just changed hands, and the host's map is older. Its former owner
-// refuses that request; callers of its other keys must not wait for that.
-TEST_F(RequestRouterTest, OwnerWithoutOneKeyIsStillAskedForTheOthers) {
-  Ask(1, "/reports/7");
-  End(1, attempt_verdict::kMisdirected);
-  EXPECT_EQ(Only<send_action>(Ask(2, "/reports/8")).size(), 1U);
+// A key has moved to another owner, and the host's map is out of date. The
+// former owner refuses that request, but must still get requests for its other
+// keys.
+TEST_F(RequestRouterTest, OwnerThatRefusesOneKeyStillGetsRequestsForOthers) {
+  SendRequest(1, "/reports/7");
+  EndAttempt(1, attempt_verdict::kMisdirected);
+  EXPECT_EQ(ActionsOf<send_action>(SendRequest(2, "/reports/8")).size(), 1U);
 }
 
-// The owner has ended and a target of another service has its address: it
-// refuses everything. Asking it again and again uses the retries up.
-TEST_F(RequestRouterTest, AddressThatAnotherTargetTookIsLeftAlone) {
+// The owner has ended, and a target of another service has taken over its
+// address and refuses every request. Sending to it over and over would use up
+// the retry budget.
+TEST_F(RequestRouterTest, AddressTakenOverByAnotherTargetGetsFewRequests) {
   int sends = 0;
   for (request_id id = 1; id <= 20; ++id) {
-    sends += static_cast<int>(Only<send_action>(Ask(id, "/reports/7")).size());
-    End(id, attempt_verdict::kMisdirected);
+    sends += static_cast<int>(
+        ActionsOf<send_action>(SendRequest(id, "/reports/7")).size());
+    EndAttempt(id, attempt_verdict::kMisdirected);
   }
   EXPECT_LE(sends, 5);
 }
 
-// A host learns late that the owner of a key leaves: its copy of the list was
-// old. The owner must get nothing two seconds after it said so, however late
-// the host heard of it; what comes later would be cut off with it.
-TEST_F(RequestRouterTest, DrainingOwnerIsLeftInTimeAlsoWhenHeardOfLate) {
-  const time_point said = now_;
-  for (target_entry& each : targets_) {
-    each.draining = each.life.id == "r0";
+// A host learns late that the owner of a key drains, because its copy of the
+// target list was out of date. The owner must get no request later than 2 s
+// after its announcement, however late the host learns of it: a later request
+// would be cut off when the owner exits.
+TEST_F(RequestRouterTest, DrainingOwnerGetsNoLateRequestsEvenIfLearnedOfLate) {
+  const time_point announced = now_;
+  for (target_entry& entry : targets_) {
+    entry.draining = entry.life.id == "r0";
   }
   now_ += milliseconds{1400};
-  router_actions ignored;
-  router_.OnTargets(targets_, false, said, now_, ignored);
-  EXPECT_EQ(Only<send_action>(Ask(1, "/reports/7")).size(), 1U)
-      << "its keys have no other owner yet";
-  now_ = said + milliseconds{1700};
-  EXPECT_TRUE(Only<send_action>(Ask(2, "/reports/7")).empty());
-}
-
-// The store was away and all entries lapsed, although the targets live. They
-// are back within two seconds; refusing everything until then helps nobody.
-TEST_F(RequestRouterTest, TargetsThatVanishWithTheStoreAreUsedForAWhile) {
-  router_actions ignored;
-  router_.OnTargets({}, true, now_, now_, ignored);
-  EXPECT_EQ(Only<send_action>(Ask(1, "/orders/7")).size(), 1U);
+  router_actions ignored_actions;
+  router_.OnTargets(targets_, false, announced, now_, ignored_actions);
+  EXPECT_EQ(ActionsOf<send_action>(SendRequest(1, "/reports/7")).size(), 1U)
+      << "the keys have no other owner yet";
+  now_ = announced + milliseconds{1700};
+  EXPECT_TRUE(ActionsOf<send_action>(SendRequest(2, "/reports/7")).empty());
+}
+
+// The store was unavailable and all entries expired although the targets are
+// alive. They are listed again within 2 s; refusing all requests until then
+// would be a needless outage.
+TEST_F(RequestRouterTest,
+       TargetsMissingAfterAStoreOutageAreUsedForALimitedTime) {
+  router_actions ignored_actions;
+  router_.OnTargets({}, true, now_, now_, ignored_actions);
+  EXPECT_EQ(ActionsOf<send_action>(SendRequest(1, "/orders/7")).size(), 1U);
   now_ += seconds{1};
-  router_.OnTargets({}, true, now_, now_, ignored);
-  EXPECT_TRUE(Only<send_action>(Ask(2, "/orders/7")).empty());
+  router_.OnTargets({}, true, now_, now_, ignored_actions);
+  EXPECT_TRUE(ActionsOf<send_action>(SendRequest(2, "/orders/7")).empty());
 }
 
-// More comes than can be done within the objective. What would be late anyway
-// is told so at once, with the time to come back.
-TEST_F(RequestRouterTest, OverloadIsRefusedAtOnceAndSpread) {
+// More requests arrive than the targets can answer within the objective.
+// Requests that would be late anyway are refused at once, with Retry-After
+// times that are spread out.
+TEST_F(RequestRouterTest, OverloadIsRefusedAtOnceWithSpreadRetryAfter) {
   request_id id = 0;
   std::vector<own_answer_action> refused;
   for (int i = 0; i < 300; ++i) {
-    const auto now_refused = Only<own_answer_action>(Ask(++id, "/orders/7"));
-    refused.insert(refused.end(), now_refused.begin(), now_refused.end());
+    const auto new_refusals =
+        ActionsOf<own_answer_action>(SendRequest(++id, "/orders/7"));
+    refused.insert(refused.end(), new_refusals.begin(), new_refusals.end());
   }
   ASSERT_GT(refused.size(), 100U);
-  duration least = seconds{10};
-  duration most{0};
-  for (const own_answer_action& each : refused) {
-    EXPECT_EQ(each.reason, refusal_reason::kQueueFull);
-    EXPECT_EQ(each.account.age, duration{0});
-    least = std::min(least, each.retry_after.value_or(duration{0}));
-    most = std::max(most, each.retry_after.value_or(duration{0}));
+  duration min_retry_after = seconds{10};
+  duration max_retry_after{0};
+  for (const own_answer_action& refusal : refused) {
+    EXPECT_EQ(refusal.reason, refusal_reason::kQueueFull);
+    EXPECT_EQ(refusal.account.age, duration{0});
+    min_retry_after =
+        std::min(min_retry_after, refusal.retry_after.value_or(duration{0}));
+    max_retry_after =
+        std::max(max_retry_after, refusal.retry_after.value_or(duration{0}));
   }
-  EXPECT_GT(most, least * 2);
-  EXPECT_LE(most, seconds{1});
+  EXPECT_GT(max_retry_after, min_retry_after * 2);
+  EXPECT_LE(max_retry_after, seconds{1});
 }
 
-// Urgent work arrives behind a queue of work that can wait.
-TEST_F(RequestRouterTest, UrgentRequestsGoBeforeOthersThatWait) {
+// An urgent request arrives while less urgent ones are queued.
+TEST_F(RequestRouterTest, UrgentRequestsAreSentBeforeOtherWaitingRequests) {
   config_.routes[0].rank = 0;
   config_.routes[1].rank = 2;
-  Apply();
+  ApplyConfig();
   request_id id = 0;
-  std::vector<request_id> in_work;
+  std::vector<request_id> in_flight;
   while (router_.pending() < 26) {
-    for (const auto& sent : Only<send_action>(Ask(++id, "/looks/7"))) {
-      in_work.push_back(sent.id);
+    for (const auto& sent :
+         ActionsOf<send_action>(SendRequest(++id, "/looks/7"))) {
+      in_flight.push_back(sent.id);
     }
   }
   const request_id urgent = ++id;
-  ASSERT_TRUE(Ask(urgent, "/orders/7").empty());
-  const auto next =
-      Only<send_action>(End(in_work.at(0), attempt_verdict::kServed));
-  ASSERT_FALSE(next.empty());
-  EXPECT_EQ(next[0].id, urgent);
+  ASSERT_TRUE(SendRequest(urgent, "/orders/7").empty());
+  const auto sent_after = ActionsOf<send_action>(
+      EndAttempt(in_flight.at(0), attempt_verdict::kServed));
+  ASSERT_FALSE(sent_after.empty());
+  EXPECT_EQ(sent_after[0].id, urgent);
 }
 
-// One of three targets answers ten times as slowly as the others. Dealing
-// evenly would make a third of all requests late.
-TEST_F(RequestRouterTest, SlowTargetGetsLessThanItsShare) {
-  std::map<std::string, int> served;
+// One of three targets is ten times slower than the others. An even
+// distribution would make a third of all requests late.
+TEST_F(RequestRouterTest, SlowTargetGetsLessThanAnEqualShare) {
+  std::map<std::string, int> sent_count;
   std::multimap<time_point, std::pair<request_id, std::string>> running;
   for (request_id id = 1; id <= 600; ++id) {
     now_ += milliseconds{10};
     while (!running.empty() && running.begin()->first <= now_) {
-      End(running.begin()->second.first, attempt_verdict::kServed);
+      EndAttempt(running.begin()->second.first, attempt_verdict::kServed);
       running.erase(running.begin());
     }
-    for (const auto& sent : Only<send_action>(Ask(id, "/looks/7"))) {
-      ++served[sent.target.id];
-      const duration work =
+    for (const auto& sent :
+         ActionsOf<send_action>(SendRequest(id, "/looks/7"))) {
+      ++sent_count[sent.target.id];
+      const duration work_time =
           sent.target.id == "o0" ? milliseconds{350} : milliseconds{35};
-      running.emplace(now_ + work, std::pair{sent.id, sent.target.id});
+      running.emplace(now_ + work_time, std::pair{sent.id, sent.target.id});
     }
   }
-  EXPECT_LT(served["o0"], 60);
+  EXPECT_LT(sent_count["o0"], 60);
 }
 
-TEST(SplitDealerTest, SharesFollowTheWeightsAtAnyMoment) {
+TEST(SplitDealerTest, SharesFollowTheWeightsAfterEveryRequest) {
   split_dealer dealer;
   const std::vector<weighted_service> parts = {{"a", 90}, {"b", 10}};
   int to_b = 0;
@@ -510,12 +548,12 @@
 TEST(RouteTableTest, LongestPrefixOfTheHostWins) {
   routing_config config;
   for (const char* prefix : {"/", "/a/", "/a/b/"}) {
-    route each;
-    each.name = prefix;
-    each.host = "Shop.Example";
-    each.prefix = prefix;
-    each.services = {{.service = "s"}};
-    config.routes.push_back(each);
+    route new_route;
+    new_route.name = prefix;
+    new_route.host = "Shop.Example";
+    new_route.prefix = prefix;
+    new_route.services = {{.service = "s"}};
+    config.routes.push_back(new_route);
   }
   const route_table table(config);
   EXPECT_EQ(table.Find("shop.example:8080", "/a/b/c?x=/a/")->prefix, "/a/b/");
--- a/tests/support/router_world.h
+++ b/tests/support/router_world.h
@@ -2,8 +2,8 @@
 #define FOXTAILSPREAD_TESTS_SUPPORT_ROUTER_WORLD_H_
 
 /// @file
-/// Hosts with a request_router each and the targets of one service in virtual
-/// time, for tests and experiments of what callers get under load.
+/// Simulation in virtual time of hosts, each with a request_router, and the
+/// targets of one service. Tests measure with it what callers get under load.
 
 #include <cstddef>
 #include <cstdint>
@@ -21,58 +21,62 @@
 
 namespace foxtailspread::testing {
 
-/// What callers got.
+/// Number of requests by their result, as callers see it.
 struct caller_tally {
   size_t asked = 0;
   size_t in_time = 0;  ///< Answered within the objective.
   size_t late = 0;
   size_t refused = 0;
-  size_t failed = 0;        ///< No answer before the caller's patience ended.
-  duration refused_wait{};  ///< Held before they were refused, in sum.
+  size_t failed = 0;        ///< Not answered before the caller's timeout.
+  duration refused_wait{};  ///< Sum of the times from arrival to refusal.
 
+  /// Fraction of the requests that were answered within the objective.
   double InTimeShare() const;
   /// Mean time from arrival to refusal.
   duration MeanRefusedWait() const;
 };
 
-/// One service and its callers, who do not come again.
+/// The hosts, the service and its callers. Callers don't retry.
 struct router_world_options {
   size_t hosts = 9;
   size_t targets = 12;
-  int slots = 6;
-  size_t queue = 24;  ///< Requests that wait at a target; more are shed.
-  /// Speeds of the targets, in turn.
+  int slots = 6;      ///< Requests that a target works on at a time.
+  size_t queue = 24;  ///< Requests that wait at a target; it sheds more.
+  /// Relative speeds, assigned to the targets in turn. At speed 1 a request
+  /// takes `mean_work` on average.
   std::vector<double> speeds{0.6, 1.0, 1.4};
   bool keyed = true;
   duration mean_work{std::chrono::milliseconds{71}};
-  double spread = 0.8;  ///< Of the logarithm of the work.
+  double spread = 0.8;  ///< Standard deviation of the logarithm of the work.
   duration objective{std::chrono::milliseconds{250}};
   duration patience{std::chrono::milliseconds{1500}};
   uint64_t seed = 1;
-  /// Targets tell their load, and hosts share what they hear.
+  /// Targets report their load, and hosts share these reports.
   bool tells_load = false;
-  /// Part of the time in which another tenant slows a target threefold.
+  /// Fraction of the time in which another tenant of its machine slows a target
+  /// down threefold.
   double noise = 0.0;
 };
 
-/// Hosts, targets and callers.
+/// Simulates hosts, targets and callers.
 ///
 /// @code
 /// router_world world({.keyed = true, .seed = 3});
-/// const caller_tally tally = world.Run(1.3 * world.Capacity(), seconds{10});
+/// const caller_results results =
+///     world.Run(1.3 * world.Capacity(), seconds{10});
 /// @endcode
 class router_world {
  public:
   explicit router_world(router_world_options options);
 
-  /// Requests a second that the targets can answer together.
+  /// Requests per second that all targets together can answer.
   double Capacity() const;
 
-  /// Lets requests come at `rate` a second for so long, evenly spread over
-  /// hosts and, by capacity, over keys.
+  /// Simulates requests at `rate_per_second` for `length`, spread evenly over
+  /// the hosts and the keys; a target's share of the keys follows its capacity.
   caller_tally Run(double rate, duration time);
 
-  /// Makes every target so many times as slow, from now on.
+  /// Multiplies the work time at every target by `factor` from now on.
   void SlowDown(double factor) { slowness_ = factor; }
 
  private:
@@ -84,13 +88,13 @@
   struct target_model {
     target_entry entry;
     double speed = 1.0;
-    double noise = 1.0;  ///< How long work takes there now.
+    double noise = 1.0;  ///< Current factor of the work time; 1 is normal.
     int busy = 0;
     std::deque<work> waiting;
   };
   struct caller {
     time_point arrived{};
-    uint64_t attempt = 0;  ///< Of the send under way, 0 if there is none.
+    uint64_t attempt = 0;  ///< Attempt under way; 0 if there is none.
   };
   struct event {
     time_point at;
@@ -123,7 +127,7 @@
   std::vector<time_point> wake_at_;
   std::vector<target_model> targets_;
   load_board loads_;
-  std::map<std::string, size_t> target_of_;  ///< By id.
+  std::map<std::string, size_t> target_of_;  ///< Index in `targets_` by id.
   std::map<request_id, caller> callers_;
   std::priority_queue<event, std::vector<event>, std::greater<>> events_;
   caller_tally tally_;
--- a/tests/worst_load_test.cc
+++ b/tests/worst_load_test.cc
@@ -7,46 +7,47 @@
 
 using std::chrono::seconds;
 
-/// Lets the hosts learn what the targets can do.
-constexpr duration kLearning{seconds{10}};
-constexpr duration kMeasured{seconds{30}};
+/// Time for the hosts to learn the capacity of the targets, and time measured
+/// after it.
+constexpr duration kLearningTime{seconds{10}};
+constexpr duration kMeasuredTime{seconds{30}};
 
-/// Of what the targets can do, so much must be answered within the objective
-/// when more is asked for. The users' aim.
-constexpr double kLeastOfCapacity = 0.85;
+/// Under overload, requests answered within the objective must make up at least
+/// this fraction of the targets' capacity, as the users require.
+constexpr double kMinCapacityFraction = 0.85;
 
 struct load_case {
   bool keyed = true;
-  double load = 1.0;  ///< Times what the targets can do.
+  double load = 1.0;  ///< Rate of requests / capacity of the targets.
 };
 
-class WorstLoadTest : public ::testing::TestWithParam<load_case> {
+class RouterLoadTest : public ::testing::TestWithParam<load_case> {
  protected:
   caller_tally Measure() {
     router_world world({.keyed = GetParam().keyed, .seed = 1});
     const double rate = GetParam().load * world.Capacity();
-    world.Run(rate, kLearning);
-    return world.Run(rate, kMeasured);
+    world.Run(rate, kLearningTime);
+    return world.Run(rate, kMeasuredTime);
   }
 };
 
-class OverloadTest : public WorstLoadTest {};
+class OverloadTest : public RouterLoadTest {};
 
-// More requests come for half a minute than the targets can do. With a queue
-// in order of arrival all of them wait until they are late: callers see a
-// service that answers nobody in time, though its targets work all the time.
-TEST_P(OverloadTest, TargetsWorkForThoseWhoCanBeAnsweredInTime) {
-  const caller_tally got = Measure();
-  EXPECT_GE(got.InTimeShare() * GetParam().load, kLeastOfCapacity);
+// For half a minute the rate of requests is above the capacity of the targets.
+// Guards against a FIFO queue in which every request waits until it is late:
+// the targets are busy all the time and yet answer no caller in time.
+TEST_P(OverloadTest, EnoughRequestsAreAnsweredWithinTheObjective) {
+  const caller_tally results = Measure();
+  EXPECT_GE(results.InTimeShare() * GetParam().load, kMinCapacityFraction);
 }
 
-// What cannot be served is refused at once. Callers that are held first come
-// again too late to be answered within the objective, and take the room of
-// others all the same.
-TEST_P(OverloadTest, RefusalsComeWithinAnEighthOfTheObjective) {
-  const caller_tally got = Measure();
-  ASSERT_GT(got.refused, 0U);
-  EXPECT_LE(got.MeanRefusedWait(), router_world_options{}.objective / 8);
+// Guards against refusals that come late. A caller that is held before it is
+// refused retries too late to be answered within the objective, and its retry
+// still takes a slot from others.
+TEST_P(OverloadTest, MeanTimeToRefusalIsAtMostAnEighthOfTheObjective) {
+  const caller_tally results = Measure();
+  ASSERT_GT(results.refused, 0U);
+  EXPECT_LE(results.MeanRefusedWait(), router_world_options{}.objective / 8);
 }
 
 INSTANTIATE_TEST_SUITE_P(Loads, OverloadTest,
@@ -55,25 +56,25 @@
                                            load_case{false, 1.3},
                                            load_case{false, 2.0}));
 
-class CalmLoadTest : public WorstLoadTest {};
+class ModerateLoadTest : public RouterLoadTest {};
 
-// The targets have room, but their answers take now a tenth and now five times
-// the mean. A limit that takes the long ones for a queue refuses requests that
-// would have been served.
-TEST_P(CalmLoadTest, HardlyAnyRequestIsRefused) {
-  const caller_tally got = Measure();
-  EXPECT_LT(static_cast<double>(got.refused),
-            0.02 * static_cast<double>(got.asked));
+// Guards against a concurrency limit that takes slow answers for a sign of
+// queueing and refuses requests although the targets have free slots. Answers
+// take between a tenth and five times the mean.
+TEST_P(ModerateLoadTest, FewerThanTwoPercentAreRefused) {
+  const caller_tally results = Measure();
+  EXPECT_LT(static_cast<double>(results.refused),
+            0.02 * static_cast<double>(results.asked));
 }
 
-INSTANTIATE_TEST_SUITE_P(Loads, CalmLoadTest,
+INSTANTIATE_TEST_SUITE_P(Loads, ModerateLoadTest,
                          ::testing::Values(load_case{true, 0.3},
                                            load_case{true, 0.6},
                                            load_case{false, 0.3},
                                            load_case{false, 0.6}));
 
-/// Many hosts before many targets of unlike speed, a fifth of which is slowed
-/// threefold by others, anew every 0.4 s.
+/// Many hosts and many targets of unequal speed. Other tenants slow a fifth of
+/// the targets, chosen anew every 0.4 s, down threefold.
 class ManyHostsTest : public ::testing::Test {
  protected:
   static caller_tally Measure(bool tells_load, double load) {
@@ -88,38 +89,40 @@
                         .tells_load = tells_load,
                         .noise = 0.2});
     const double rate = load * world.Capacity();
-    world.Run(rate, kLearning);
-    return world.Run(rate, kMeasured);
+    world.Run(rate, kLearningTime);
+    return world.Run(rate, kMeasuredTime);
   }
 };
 
 // Guards against hosts that send to slowed and busy targets while others have
-// room, because each of them hears of a target every few seconds only.
+// free slots. Without shared loads, each host learns of a target's load only
+// every few seconds.
 TEST_F(ManyHostsTest,
-       ToldLoadsLeaveThreeInFourInTimeAtFourFifthsOfTheCapacity) {
-  const caller_tally got = Measure(true, 0.8);
-  EXPECT_GE(got.InTimeShare(), 0.75);
+       WithReportedLoadsThreeInFourAreInTimeAtEightyPercentLoad) {
+  const caller_tally results = Measure(true, 0.8);
+  EXPECT_GE(results.InTimeShare(), 0.75);
 }
 
-// Guards against a queue that stands at the targets until requests time out.
-TEST_F(ManyHostsTest, ToldLoadsKeepTimeoutsRareAtFullCapacity) {
-  const caller_tally got = Measure(true, 1.0);
-  EXPECT_LE(static_cast<double>(got.failed),
-            0.05 * static_cast<double>(got.asked));
+// Guards against queues at the targets that never drain, so that requests time
+// out in them.
+TEST_F(ManyHostsTest, WithReportedLoadsTimeoutsAreRareAtFullLoad) {
+  const caller_tally results = Measure(true, 1.0);
+  EXPECT_LE(static_cast<double>(results.failed),
+            0.05 * static_cast<double>(results.asked));
 }
 
-// Guards against limits that refuse what the targets have room for.
-TEST_F(ManyHostsTest, ToldLoadsRefuseHardlyAnyRequestInCalm) {
-  const caller_tally got = Measure(true, 0.6);
-  EXPECT_LT(static_cast<double>(got.refused),
-            0.02 * static_cast<double>(got.asked));
+// Guards against limits that refuse requests although targets have free slots.
+TEST_F(ManyHostsTest, WithReportedLoadsFewAreRefusedAtModerateLoad) {
+  const caller_tally results = Measure(true, 0.6);
+  EXPECT_LT(static_cast<double>(results.refused),
+            0.02 * static_cast<double>(results.asked));
 }
 
-// Guards against callers that are held before they are refused.
-TEST_F(ManyHostsTest, ToldLoadsRefuseAtOnceBeyondTheCapacity) {
-  const caller_tally got = Measure(true, 1.3);
-  ASSERT_GT(got.refused, 0U);
-  EXPECT_LE(got.MeanRefusedWait(), std::chrono::milliseconds{600} / 8);
+// Guards against requests that are held before they are refused.
+TEST_F(ManyHostsTest, WithReportedLoadsRefusalsAreFastUnderOverload) {
+  const caller_tally results = Measure(true, 1.3);
+  ASSERT_GT(results.refused, 0U);
+  EXPECT_LE(results.MeanRefusedWait(), std::chrono::milliseconds{600} / 8);
 }
 
 }  // namespace
