--- a/include/foxtailspread/crash_watch.h
+++ b/include/foxtailspread/crash_watch.h
@@ -2,8 +2,8 @@
 #define FOXTAILSPREAD_CRASH_WATCH_H_
 
 /// @file
-/// Tells requests that crash their targets from requests that a target
-/// merely failed to answer.
+/// Distinguishes requests that crash their targets from requests that merely
+/// got no complete response.
 
 #include <cstdint>
 #include <deque>
@@ -17,43 +17,49 @@
 
 namespace foxtailspread {
 
-/// What one host knows of contents that crash targets.
+/// Detects request contents that crash targets, from what one host observes and
+/// what the other hosts report.
 ///
-/// Load pattern: one caller sends the same request again and again, through
-/// any host, and each target that begins to run it dies. A broken connection
-/// alone proves nothing: links are reset, and answers spoiled. So a content is
-/// held against only if its answer broke off and that life of the target then
-/// vanished from the store's list. After two targets the content is refused.
+/// Load pattern: a caller repeats the same request, through any host, and each
+/// target that begins to run it crashes. A broken connection alone proves
+/// nothing, as links are reset and responses corrupted while targets run on. A
+/// crash is therefore counted only if the response broke off and the target's
+/// life (one run of its process) then disappeared from the store's list. After
+/// crashes of two targets the content is refused.
 ///
 /// @code
-/// watch.OnBroken(content, target, now);
-/// watch.OnListed([&](const target_life& life) { return IsListed(life); },
-///                now);
-/// if (watch.IsCrashing(content, now)) Refuse();
+/// watch.OnBrokenResponse(content_hash, target, now);
+/// watch.OnTargetList([&](const target_life& life) { return IsListed(life); },
+///                    now);
+/// if (watch.IsQuarantined(content_hash, now)) Refuse();
 /// @endcode
 class crash_watch {
  public:
   crash_watch();
 
-  /// A request of this content ended without a whole answer. 0 is no content.
+  /// Records that a request with this content got no complete response. A hash
+  /// of 0 stands for no content and is ignored.
   void OnBroken(uint64_t content, const target_life& target, time_point now);
-  /// A target answered the content: it is harmless.
+  /// Records that a target answered the content, which is therefore harmless.
   void OnAnswered(uint64_t content);
-  /// Takes a list of targets that can be relied on.
+  /// Counts a crash for each suspect whose target is missing from the store's
+  /// list. Call it only with a list that is reliable.
   void OnListed(const std::function<bool(const target_life&)>& is_listed,
                 time_point now);
 
-  /// Whether the content is to be refused.
+  /// Returns whether requests with this content are to be refused.
   bool IsCrashing(uint64_t content, time_point now) const;
 
-  /// What this host saw since the last call, for the others.
+  /// Returns the marks of crashes that this host counted since the last call,
+  /// to be sent to the other hosts.
   std::vector<poison_mark> TakeNews(time_point now);
-  /// What is known of all hosts, the latest last and no more than `most`.
+  /// Returns the latest `max_count` marks of all hosts, newest last.
   std::vector<poison_mark> Marks(size_t most, time_point now) const;
-  /// Takes what other hosts saw.
+  /// Merges the marks of other hosts.
   void Import(std::span<const poison_mark> marks, time_point now);
 
  private:
+  /// A request that got no complete response and may have crashed its target.
   struct suspect {
     uint64_t content = 0;
     target_life target;
--- a/include/foxtailspread/retry_budget.h
+++ b/include/foxtailspread/retry_budget.h
@@ -2,11 +2,11 @@
 #define FOXTAILSPREAD_RETRY_BUDGET_H_
 
 /// @file
-/// How many repeated sends a service bears from this host.
+/// The budget of retries to one service on one host.
 ///
-/// Load pattern: a service begins to fail or to reject, and every host sends
-/// again what came back. Without a bound the repeats alone keep the service
-/// over its capacity after the cause is gone.
+/// Load pattern: a service begins to fail or to reject requests, and every host
+/// retries them. Without a bound the retries alone keep the service overloaded
+/// after the cause is gone.
 
 #include <array>
 #include <cstdint>
@@ -15,36 +15,37 @@
 
 namespace foxtailspread {
 
-/// The bound that all hosts keep together.
+/// The bound on the retries of all hosts together.
 struct retry_bounds {
-  double ratio = 0.2;   ///< Repeats for each request.
-  double slack = 50.0;  ///< Repeats besides, in a window.
+  double ratio = 0.2;   ///< Retries per request.
+  double slack = 50.0;  ///< Retries allowed per window besides.
   duration window{std::chrono::seconds{10}};
 };
 
-/// One host's part of one service's bound, over a sliding window. Requests
-/// count as they come, so a host with more traffic has a larger part; the
-/// slack is divided by the number of hosts.
+/// One host's part of the bound for one service, over a sliding window. The
+/// ratio applies to the host's own requests, so a host with more traffic may
+/// retry more; the slack is divided equally among the hosts.
 class retry_budget {
  public:
   explicit retry_budget(retry_bounds bounds) : bounds_(bounds) {}
 
   void SetHosts(size_t hosts) { hosts_ = hosts == 0 ? 1 : hosts; }
   void OnRequest(time_point now) { ++At(now).requests; }
-  /// Takes one repeat out of the budget, or returns false.
+  /// Takes one retry out of the budget; returns false if none remains.
   bool TryRepeat(time_point now);
-  /// Whether TryRepeat would succeed.
+  /// Returns whether TryRetry would succeed.
   bool HasRoom(time_point now) { return Left(now) >= 1.0; }
-  /// Repeats that may still be made now; below 0 if the requests that earned
-  /// them have left the window.
+  /// Returns the number of retries that remain now; negative if the requests
+  /// that allowed earlier retries have left the window.
   double Left(time_point now);
 
  private:
-  /// The window is cut into so many slices; one more is kept, so that a
-  /// repeat counts for no less than the window.
+  /// Number of slices in the window. One more is kept, so that a retry counts
+  /// for at least the length of the window.
   static constexpr int64_t kSlices = 10;
-  /// The part of the bound that is used. Requests that other hosts took in
-  /// and that this host counts twice, on a route's split, make up the rest.
+  /// Fraction of the bound that is used. The rest is a margin for requests that
+  /// other hosts received and that this host counts twice, on a route that
+  /// splits its traffic.
   static constexpr double kUsedShare = 0.8;
 
   struct slice {
--- a/include/foxtailspread/service_limit.h
+++ b/include/foxtailspread/service_limit.h
@@ -2,13 +2,15 @@
 #define FOXTAILSPREAD_SERVICE_LIMIT_H_
 
 /// @file
-/// How many requests of a pooled service one host has at its targets at once.
+/// The limit of one host's concurrent requests at all targets of a pooled
+/// service.
 ///
-/// Load pattern: more is asked for than the targets can do. A host hears of one
-/// target every few seconds, too seldom to find a limit for each of them; of
-/// the service it hears many times a second. Without a limit the queue stands
-/// at the targets, where requests can neither go elsewhere nor be refused in
-/// time, and all answers are late.
+/// Load pattern: the request rate exceeds the capacity of the targets. A host
+/// gets a response of a given target only every few seconds, too rarely to find
+/// a limit for each target, but it gets many responses of the service per
+/// second. Without a limit the queue builds up at the targets, where requests
+/// can neither be sent to another target nor be rejected in time, and all
+/// responses are late.
 
 #include <cstddef>
 #include <limits>
@@ -17,49 +19,54 @@
 
 namespace foxtailspread {
 
-/// An answer that came with a told load.
+/// A response with the load that the target reported in it.
 struct told_answer {
   double load = 0.0;     ///< Requests at the target for each of its slots.
-  bool served = true;    ///< False for one that the target did not work on.
-  duration took{};       ///< Time to the answer.
-  duration objective{};  ///< The latency that the route wants.
+  bool served = true;    ///< False if the target did not run the request.
+  duration took{};       ///< Latency of the response.
+  duration objective{};  ///< Latency objective of the route.
 };
 
-/// Follows the load that targets tell by additive increase and multiplicative
-/// decrease, so that hosts which do not see each other come to like shares.
+/// Adapts the limit to the load that targets report, by additive increase and
+/// multiplicative decrease. Hosts that do not see each other's requests thereby
+/// converge to similar limits.
 ///
 /// @code
-/// limit.OnAnswer({.load = 1.5, .took = took, .objective = objective}, 7);
-/// if (limit.HasRoom(in_flight)) Send();
+/// limit.OnResponse(
+///     {.load_per_slot = 1.5, .latency = latency, .objective = objective}, 7);
+/// if (limit.HasCapacity(in_flight)) Send();
 /// @endcode
 class service_limit {
  public:
-  /// Takes the slots of all targets and the number of hosts that share them.
-  /// `in_flight`, below, counts this host's requests under way.
+  /// Sets the total number of slots of all targets and the number of hosts that
+  /// share them.
   void SetShare(double slots, size_t hosts);
 
-  /// Always true while no target told its load.
+  /// Returns whether one more request may be sent. `in_flight` is the number of
+  /// this host's requests in flight. Always true before the first load report.
   bool HasRoom(int in_flight) const { return in_flight < limit(); }
 
-  /// Takes an answer.
+  /// Records a response and adjusts the limit.
   void OnAnswer(const told_answer& answer, int in_flight);
 
+  /// Whether a target has reported its load.
   bool is_told() const { return is_told_; }
   double limit() const {
     return is_told_ ? limit_ : std::numeric_limits<double>::infinity();
   }
 
  private:
-  /// The mean load at which most answers still come within the objective.
+  /// Returns the mean load at which most responses still arrive within the
+  /// objective.
   double MostLoad(duration objective) const;
 
   bool is_told_ = false;
   double mean_load_ = 0.0;
-  duration unqueued_{
-      0};  ///< Mean time to an answer of targets with a free slot.
+  /// Mean latency of targets that have a free slot.
+  duration unqueued_{0};
   double least_ = 1.0;
   double most_ = 1.0;
-  double limit_ = 0.0;  ///< 0 until the share is known.
+  double limit_ = 0.0;  ///< 0 until the capacity is known.
 };
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/target_availability.h
+++ b/include/foxtailspread/target_availability.h
@@ -2,11 +2,12 @@
 #define FOXTAILSPREAD_TARGET_AVAILABILITY_H_
 
 /// @file
-/// Whether a target may get work, whatever its load and health.
+/// Whether a target may receive requests at all, irrespective of its load and
+/// health.
 ///
-/// Load pattern: an operator evacuates an availability zone and takes it back,
-/// or a zone returns from a loss of power. Its targets are cold then: they
-/// crash under the load that they carry when warm.
+/// Load pattern: an operator evacuates an availability zone and later returns
+/// it to service, or a zone comes back after a power failure. Its targets are
+/// cold then: they crash under the load that they sustain when warm.
 
 #include <optional>
 
@@ -16,33 +17,34 @@
 
 namespace foxtailspread {
 
-/// How a service's targets bear load after their start.
+/// How a service's targets handle load after their start.
 struct cold_policy {
-  duration cold_time{};             ///< How long they are cold.
-  bool bears_few_requests = false;  ///< Cold ones crash under the usual load.
+  duration cold_time{};  ///< How long they are cold after a start.
+  /// They crash under normal load while cold.
+  bool bears_few_requests = false;
 };
 
 cold_policy ColdPolicyOf(const service_settings& service);
 
-/// What one host knows of a target's evacuation and warm-up.
+/// Tracks the evacuation and the warm-up of one target on one host.
 ///
 /// @code
 /// availability.OnEntry(entry, policy, now);
 /// availability.OnEvacuated(zones.contains(entry.zone), policy, now);
-/// if (availability.IsOpen(now)) Send();
+/// if (availability.IsAvailable(now)) Send();
 /// @endcode
 class target_availability {
  public:
-  /// Takes a new entry of the target, which says how much longer it is cold.
+  /// Takes a new entry of the target, which states how much longer it is cold.
   void OnEntry(const target_entry& entry, const cold_policy& policy,
                time_point now);
 
-  /// Takes whether its zone is evacuated. After an evacuation the target counts
-  /// as cold: it may have been started anew meanwhile.
+  /// Records whether the target's zone is evacuated. After an evacuation the
+  /// target counts as cold, as it may have been restarted in the meantime.
   void OnEvacuated(bool evacuated, const cold_policy& policy, time_point now);
 
   bool IsEvacuated() const { return evacuated_since_.has_value(); }
-  /// When the evacuation was first heard of.
+  /// When this host first learnt of the evacuation.
   std::optional<time_point> evacuated_since() const { return evacuated_since_; }
 
   bool IsCold(time_point now) const { return now < cold_until_; }
--- a/include/foxtailspread/target_entry.h
+++ b/include/foxtailspread/target_entry.h
@@ -2,7 +2,7 @@
 #define FOXTAILSPREAD_TARGET_ENTRY_H_
 
 /// @file
-/// What a target says of itself in the store.
+/// The record by which a target announces itself in the store.
 
 #include <cstdint>
 #include <span>
@@ -19,17 +19,18 @@
   std::string service;
   std::string address;  ///< "IP:port".
   std::string zone;
-  int slots = 1;          ///< Requests that it works on at once.
-  bool draining = false;  ///< It gets no new work.
-  duration warm_up{};     ///< How much longer it is cold after its start.
-  uint64_t sequence = 0;  ///< Grows with each report of one life.
+  int slots = 1;          ///< Requests that it runs concurrently.
+  bool draining = false;  ///< It gets no new requests.
+  duration warm_up{};     ///< How much longer it is cold.
+  uint64_t sequence = 0;  ///< Increases with each report of one life.
 
   bool operator==(const target_entry&) const = default;
 };
 
-/// Returns a digest of what hosts go by: not of the sequence, which changes
-/// all the time, nor of how much of a warm-up is left. The same on every host,
-/// and the sum of the digests of each entry by itself.
+/// Returns a digest of the fields that hosts use for routing. It excludes the
+/// sequence, which changes with each report, and the remaining cold time except
+/// whether it is 0. All hosts compute the same digest for the same entries. The
+/// digest of several entries is the sum of the digests of each entry.
 uint64_t DigestOf(std::span<const target_entry> targets);
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/target_health.h
+++ b/include/foxtailspread/target_health.h
@@ -2,11 +2,13 @@
 #define FOXTAILSPREAD_TARGET_HEALTH_H_
 
 /// @file
-/// What one host knows of one target's load and health from its own requests.
+/// Load and health of one target, as estimated by one host from the outcomes
+/// of its own requests and from the load that the target reports.
 ///
 /// Load pattern: about ten hosts share a target's few slots without seeing
-/// each other's requests, targets differ in speed, and some turn slow, freeze
-/// or fail. Only answers tell; what the target says of itself lags.
+/// each other's requests, targets differ in speed, and some become slow,
+/// freeze or fail. Only the outcomes of requests are current; the load that a
+/// target reports lags behind.
 
 #include <cstdint>
 #include <deque>
@@ -17,60 +19,65 @@
 
 namespace foxtailspread {
 
-/// How one attempt ended, as far as its target's health goes.
+/// Outcome of one attempt, as far as it concerns the target's health.
 enum class attempt_verdict {
-  kServed,       ///< A whole answer that is no failure.
-  kFailed,       ///< The target's own failure.
-  kShed,         ///< The target refused for want of room.
-  kMisdirected,  ///< Another target has the address, or not the key.
-  kNotOwner,     ///< The same, where it is most likely the key.
-  kUnreachable,  ///< No connection, or one that ended unused.
-  kBroken,       ///< No whole answer.
-  kTimedOut,     ///< Given up at the request's deadline.
-  kAbandoned,    ///< The caller left.
+  kServed,       ///< A complete response that is no failure.
+  kFailed,       ///< The target responded with an error of its own.
+  kShed,         ///< The target rejected the request because it is full.
+  kMisdirected,  ///< The address belongs to another target by now, or the
+                 ///< target does not own the key.
+  kNotOwner,     ///< As kMisdirected, but most likely because of the key.
+  kUnreachable,  ///< No connection, or it closed before it was used.
+  kBroken,       ///< No complete response.
+  kTimedOut,     ///< The request's deadline passed.
+  kAbandoned,    ///< The caller disconnected.
 };
 
-/// Load and health of one target.
+/// Load and health of one target, and the limit that this host puts on its
+/// concurrent requests there.
 class target_health {
  public:
-  /// `slots` is the target's own number of requests at once.
+  /// `slots` is how many requests the target runs concurrently.
+  /// `initial_latency` is the mean latency before the first response.
   target_health(int slots, duration first_latency);
 
-  /// Sets how many requests may be there at once at most, 0 for the usual, and
-  /// how many hosts share the target's slots.
+  /// Sets the maximum of concurrent requests of this host at the target, 0 for
+  /// the default, and the number of hosts that share the target's slots.
   void SetShare(int most, size_t hosts);
 
   void OnSent(time_point now);
-  /// Takes the end of an attempt that was sent at `sent`. `objective` is the
-  /// latency that its route wants.
+  /// Records the end of an attempt that was sent at `sent_at`. `objective` is
+  /// the latency objective of its route.
   void OnEnded(attempt_verdict verdict, time_point sent, duration objective,
                time_point now);
 
-  /// Takes the load that the target told at `told_at`, with the mean latency
-  /// that all hosts saw, 0 if that is not known.
+  /// Records the load that the target reported at `reported_at`, and the mean
+  /// latency over all hosts, 0 if that is not known.
   void OnTold(const told_load& load, time_point told_at, duration latency);
-  /// The load told last, if it is not too old to go by.
+  /// Returns the latest reported load, or nullptr if it is too old to use.
   const told_load* Told(time_point now) const;
   time_point told_at() const { return told_at_; }
 
-  /// Whether one more may be sent now.
+  /// Returns whether the limit allows one more request now.
   bool HasRoom(time_point now) const;
-  /// When the pause that keeps the next request back ends; in the past if there
-  /// is none.
+  /// Returns the end of the pause before the next request; a time in the past
+  /// if there is no pause.
   time_point PausedUntil() const;
-  /// False while no connection is tried after one that failed.
+  /// False during the backoff after a failed connection.
   bool IsReachable(time_point now) const { return now >= unreachable_until_; }
-  /// False also while the target is left alone for failing its requests.
+  /// False also while the target is avoided because it fails its requests.
   bool IsTrusted(time_point now) const {
     return IsReachable(now) && now >= failing_until_;
   }
 
-  /// Expected time to an answer for one more request.
+  /// Returns the expected latency of one more request.
   duration ExpectedLatency(time_point now) const;
   duration latency() const { return latency_; }
-  /// Time within which most answers come: the mean and the mean deviation.
+  /// Returns the latency that most responses stay below: the mean plus the
+  /// mean deviation.
   duration LikelyLatency() const { return latency_ + deviation_; }
-  /// Mean time of the requests served since the last call, and their number.
+  /// Returns the mean latency of the requests served since the last call, and
+  /// their number.
   std::pair<duration, uint32_t> TakeRecent();
   int in_flight() const { return in_flight_; }
   double limit() const { return limit_; }
@@ -84,11 +91,11 @@
 
   int slots_;
   int in_flight_ = 0;
-  double limit_;
+  double limit_;  ///< Concurrent requests; below 1, one with a pause after it.
   double most_;
   double least_;
   duration latency_;
-  duration deviation_{0};  ///< Mean distance of a latency from the mean.
+  duration deviation_{0};  ///< Mean absolute deviation of the latency.
   time_point last_sent_{};
   uint64_t served_ = 0;
   duration recent_sum_{0};
@@ -100,10 +107,10 @@
   time_point unreachable_until_{};
   told_load told_{};
   time_point told_at_{};
-  duration shared_latency_{0};  ///< Over all hosts' answers; 0 if not known.
+  duration shared_latency_{0};  ///< Mean over all hosts; 0 if not known.
   double usual_slowness_ = 1.0;
-  duration pause_{0};  ///< The last one after a failed connection.
-  /// When the requests in flight were sent, oldest first.
+  duration pause_{0};  ///< Current backoff after failed connections.
+  /// Send times of the requests in flight, oldest first.
   std::deque<time_point> sent_;
 };
 
--- a/include/foxtailspread/told_load.h
+++ b/include/foxtailspread/told_load.h
@@ -2,11 +2,13 @@
 #define FOXTAILSPREAD_TOLD_LOAD_H_
 
 /// @file
-/// What targets tell of their load with their answers, and how hosts share it.
+/// The load that targets report with their responses, and its exchange between
+/// hosts.
 ///
-/// Load pattern: many hosts send to each target, so that one host hears of it
-/// every few seconds only, while its load changes several times a second. All
-/// hosts together hear of each target some ten times a second.
+/// Load pattern: many hosts send to each target, so that one host gets a
+/// response of a given target only every few seconds, while the target's load
+/// changes several times a second. All hosts together get about ten responses
+/// of each target per second.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,46 +21,47 @@
 
 namespace foxtailspread {
 
-/// A target's load when it answered.
+/// A target's load at the time of its response.
 struct told_load {
-  int running = 0;        ///< Requests that it works on.
-  int waiting = 0;        ///< Requests that wait at the target.
-  double slowness = 1.0;  ///< How long work takes there, 1 as usual.
+  int running = 0;        ///< Requests that it runs.
+  int waiting = 0;        ///< Requests in its queue.
+  double slowness = 1.0;  ///< Run time relative to the usual one.
 
   int occupied() const { return running + waiting; }
   bool operator==(const told_load&) const = default;
 };
 
-/// A target's load as hosts pass it on.
+/// A target's load as hosts exchange it.
 struct load_sample {
-  uint32_t target = 0;  ///< ShortIdOf its id.
+  uint32_t target = 0;  ///< ShortIdOf the target's id.
   told_load load{};
-  uint32_t age_ms = 0;      ///< Since it was told.
-  uint32_t latency_us = 0;  ///< Mean time to an answer, 0 if not known.
-  uint32_t served = 0;      ///< Answers that it is the mean of.
+  uint32_t age_ms = 0;      ///< Time since the target's report.
+  uint32_t latency_us = 0;  ///< Mean latency, 0 if not known.
+  uint32_t served = 0;      ///< Requests that it is the mean of.
 
   bool operator==(const load_sample&) const = default;
 };
 
-/// A target's name in datagrams. Two targets may share one: what is said of
-/// loads is a hint.
+/// Returns the id of a target in datagrams, a hash. Two targets may collide,
+/// which is acceptable because loads are only hints.
 uint32_t ShortIdOf(std::string_view target);
 
-/// How often each host passes on what it heard. A load is known best while it
-/// is younger than a request's work; but one host hears all others.
+/// Returns the period at which each host sends its load samples. A load is most
+/// useful while it is younger than the run time of a request, but a single host
+/// receives the samples of all others, so the period grows with their number.
 duration ShareLoadsEvery(size_t hosts);
 
-/// Merges what all hosts heard, at the host that tells the others.
+/// Merges the load samples of all hosts, at the host that broadcasts them.
 ///
 /// @code
-/// board.Add(report.loads, now);
-/// Broadcast(board.TakeFresh(now));
+/// aggregator.Add(report.loads, now);
+/// Broadcast(aggregator.TakeFresh(now));
 /// @endcode
 class load_board {
  public:
   void Add(std::span<const load_sample> samples, time_point now);
 
-  /// Returns the loads that were told since the last call, with the mean
+  /// Returns the loads that were reported since the last call, with the mean
   /// latency over all hosts.
   std::vector<load_sample> TakeFresh(time_point now);
 
--- a/include/foxtailspread/waiting_policy.h
+++ b/include/foxtailspread/waiting_policy.h
@@ -2,36 +2,35 @@
 #define FOXTAILSPREAD_WAITING_POLICY_H_
 
 /// @file
-/// How long a request waits for room at a target, and who goes first when
-/// there is room.
+/// How long a request may wait at the host for capacity at a target, and the
+/// order in which waiting requests are sent.
 ///
-/// Load pattern: for seconds more requests come than the targets can do. A
-/// queue in order of arrival then stands at its bound: each request waits for
-/// as long as it may and is answered late, though the targets work all the
-/// time.
+/// Load pattern: for seconds the request rate exceeds the capacity of the
+/// targets. A first-in, first-out queue then stays at its bound: each request
+/// waits for the maximum time and is answered late, although the targets are
+/// busy all the time.
 
 #include "foxtailspread/time.h"
 
 namespace foxtailspread {
 
-/// How long a request may wait whose answer takes `likely_latency` from its
-/// send: what is left of its objective. One that waited longer would be late
-/// and take the room of one that would not be.
+/// Returns the maximum wait of a request that takes `likely_latency` once it is
+/// sent, which is what that leaves of its objective. A request that waits
+/// longer would be late and use capacity that another needs to be in time.
 duration MostWait(duration objective, duration likely_latency);
 
-/// How long a queue counts as overloaded after it refused requests one after
-/// the other. Requests that meet it are not kept waiting: refused soon, a
-/// caller can still come again, at another host, and be answered within the
-/// objective.
+/// Returns how long a queue counts as overloaded after it refused several
+/// requests in succession. An overloaded queue refuses further requests early,
+/// so that callers can retry at another host within the objective.
 duration OverloadTime(duration objective);
 
-/// After what time, about, a caller should come again that an overloaded queue
-/// refused.
+/// Returns the approximate time after which a caller that an overloaded queue
+/// refused should retry.
 duration RetryAfterOverload(duration objective);
 
-/// Whether the newest request goes first. `oldest_wait` is how long the oldest
-/// one has waited: a queue that stands so long does not drain, and only new
-/// requests can still be answered in time.
+/// Returns whether the newest request is sent first. `oldest_wait` is the wait
+/// of the oldest request so far: if it is long, the queue does not drain, and
+/// only new requests can still be answered in time.
 bool GoesNewestFirst(duration oldest_wait, duration objective);
 
 }  // namespace foxtailspread
--- a/src/core/crash_watch.cc
+++ b/src/core/crash_watch.cc
@@ -5,74 +5,80 @@
 namespace foxtailspread {
 namespace {
 
-/// How long after a broken answer the target's life may vanish from the list
-/// for the two to belong together: three missed reports of a target (2.6 s),
-/// the list's lag and this host's reading of it (1.5 s).
-constexpr duration kCrashShows{std::chrono::seconds{5}};
+/// A target whose life disappears from the list within this time after a broken
+/// response counts as crashed by the request. The time covers three missed
+/// reports of a target (2.6 s), and the lag of the list and of this host's
+/// reading of it (1.5 s).
+constexpr duration kCrashDetectionWindow{std::chrono::seconds{5}};
 
-/// Suspects kept. A crash breaks a dozen requests at once; more than this many
-/// at a time come from links that fail, and say little of contents.
-constexpr size_t kMostSuspects = 256;
+/// Maximum number of suspects. A crash breaks about a dozen requests at once;
+/// larger numbers come from failing links and say little about contents.
+constexpr size_t kMaxSuspects = 256;
 
-/// Contents remembered, and for how long after the latest crash. Longer would
-/// punish a content that was merely there when two targets died; shorter would
-/// let one that does crash them take down two targets each time.
-constexpr size_t kMostContents = 256;
-constexpr duration kRemembered{std::chrono::minutes{2}};
+/// Maximum number of marked contents, and how long a mark lasts after the
+/// latest crash. A longer time would punish a content that merely ran when two
+/// targets crashed for another reason; a shorter one would let a harmful
+/// content crash two targets each time its mark expires.
+constexpr size_t kMaxContents = 256;
+constexpr duration kMarkTtl{std::chrono::minutes{2}};
 
 }  // namespace
 
-crash_watch::crash_watch() : guard_(kMostContents, kRemembered) {}
+crash_watch::crash_watch() : guard_(kMaxContents, kMarkTtl) {}
 
-void crash_watch::OnBroken(uint64_t content, const target_life& target,
+void crash_watch::OnBroken(uint64_t content_hash, const target_life& target,
                            time_point now) {
-  const bool known =
-      std::any_of(suspects_.begin(), suspects_.end(), [&](const suspect& each) {
-        return each.content == content && each.target == target;
+  const bool known = std::any_of(
+      suspects_.begin(), suspects_.end(), [&](const suspect& candidate) {
+        return candidate.content == content_hash && candidate.target == target;
       });
-  if (content == 0 || known) {
+  if (content_hash == 0 || known) {
     return;
   }
-  if (suspects_.size() >= kMostSuspects) {
+  if (suspects_.size() >= kMaxSuspects) {
     suspects_.pop_front();
   }
-  suspects_.push_back({.content = content, .target = target, .broke = now});
+  suspects_.push_back(
+      {.content = content_hash, .target = target, .broke = now});
 }
 
-void crash_watch::OnAnswered(uint64_t content) {
-  guard_.Clear(content);
+void crash_watch::OnAnswered(uint64_t content_hash) {
+  guard_.Clear(content_hash);
   if (!suspects_.empty()) {
-    std::erase_if(suspects_,
-                  [&](const suspect& each) { return each.content == content; });
+    std::erase_if(suspects_, [&](const suspect& candidate) {
+      return candidate.content == content_hash;
+    });
   }
 }
 
 void crash_watch::OnListed(
     const std::function<bool(const target_life&)>& is_listed, time_point now) {
-  std::erase_if(suspects_, [&](const suspect& each) {
-    if (now - each.broke > kCrashShows) {
+  std::erase_if(suspects_, [&](const suspect& candidate) {
+    if (now - candidate.broke > kCrashDetectionWindow) {
       return true;
     }
-    if (is_listed(each.target)) {
+    if (is_listed(candidate.target)) {
       return false;
     }
-    guard_.CountCrash(each.content, now);
+    guard_.CountCrash(candidate.content, now);
     return true;
   });
 }
 
-bool crash_watch::IsCrashing(uint64_t content, time_point now) const {
-  return guard_.IsQuarantined(content, now);
+bool crash_watch::IsCrashing(uint64_t content_hash, time_point now) const {
+  return guard_.IsQuarantined(content_hash, now);
 }
 
 std::vector<poison_mark> crash_watch::TakeNews(time_point now) {
   return guard_.TakeNews(now);
 }
 
-std::vector<poison_mark> crash_watch::Marks(size_t most, time_point now) const {
+std::vector<poison_mark> crash_watch::Marks(size_t max_count,
+                                            time_point now) const {
   std::vector<poison_mark> marks = guard_.Export(now);
-  if (marks.size() > most) {
-    marks.erase(marks.begin(), marks.end() - static_cast<std::ptrdiff_t>(most));
+  if (marks.size() > max_count) {
+    marks.erase(marks.begin(),
+                marks.end() - static_cast<std::ptrdiff_t>(max_count));
   }
   return marks;
 }
--- a/src/core/retry_budget.cc
+++ b/src/core/retry_budget.cc
@@ -3,28 +3,28 @@
 namespace foxtailspread {
 
 retry_budget::slice& retry_budget::At(time_point now) {
-  const duration length = bounds_.window / kSlices;
-  const int64_t number = now.time_since_epoch() / length;
-  slice& found = slices_[static_cast<size_t>(number) % slices_.size()];
-  if (found.number != number) {
-    found = {.number = number};
+  const duration slice_length = bounds_.window / kSlices;
+  const int64_t number = now.time_since_epoch() / slice_length;
+  slice& current = slices_[static_cast<size_t>(number) % slices_.size()];
+  if (current.number != number) {
+    current = {.number = number};
   }
-  return found;
+  return current;
 }
 
 double retry_budget::Left(time_point now) {
   const int64_t newest = At(now).number;
   double requests = 0.0;
-  double repeats = 0.0;
-  for (const slice& each : slices_) {
-    if (each.number >= 0 && newest - each.number <= kSlices) {
-      requests += each.requests;
-      repeats += each.repeats;
+  double retries = 0.0;
+  for (const slice& counted : slices_) {
+    if (counted.number >= 0 && newest - counted.number <= kSlices) {
+      requests += counted.requests;
+      retries += counted.repeats;
     }
   }
   const double allowed =
       bounds_.ratio * requests + bounds_.slack / static_cast<double>(hosts_);
-  return allowed * kUsedShare - repeats;
+  return allowed * kUsedShare - retries;
 }
 
 bool retry_budget::TryRepeat(time_point now) {
--- a/src/core/service_limit.cc
+++ b/src/core/service_limit.cc
@@ -5,62 +5,68 @@
 namespace foxtailspread {
 namespace {
 
-/// Added for each limit's worth of answers from targets without a queue.
-/// Weight of one answer in the mean load: the last second of a host's answers.
+/// Weight of one response in the mean load, which covers about the last second
+/// of a host's responses.
 constexpr double kLoadWeight = 0.1;
-/// Weight of one answer in the time that answers take without a queue.
+/// Weight of one response in the mean latency without a queue.
 constexpr double kUnqueuedWeight = 0.05;
-/// The part of the time to the objective that may pass in a target's queue;
-/// answers take now more and now less than the mean.
-constexpr double kQueuePart = 0.6;
-/// Bounds of the mean load. Targets need a short queue to be busy all the time.
-constexpr double kLeastMostLoad = 1.2;
-constexpr double kMostMostLoad = 3.0;
-/// Added for each limit's worth of answers.
+/// Fraction of the time between the unqueued latency and the objective that a
+/// request may spend in a target's queue. The rest allows for variation of the
+/// latency around its mean.
+constexpr double kQueueFraction = 0.6;
+/// Bounds of the load threshold. It exceeds 1 because targets need a short
+/// queue to be busy all the time.
+constexpr double kMinLoadThreshold = 1.2;
+constexpr double kMaxLoadThreshold = 3.0;
+/// Increase of the limit per `limit_` responses.
 constexpr double kIncrease = 1.0;
-/// Part of the limit that is taken away for each answer, times the excess.
-constexpr double kDecrease = 0.2;
-constexpr double kMostDecrease = 0.2;
+/// Decrease per response, as a fraction of the limit: kDecreaseFactor times the
+/// load above the threshold, at most kMaxDecreaseFraction.
+constexpr double kDecreaseFactor = 0.2;
+constexpr double kMaxDecreaseFraction = 0.2;
 
-/// Bounds, as parts of a host's share of the slots: hosts get unlike parts of
-/// the traffic.
-constexpr double kLeastPart = 0.5;
-constexpr double kMostPart = 4.0;
+/// Bounds of the limit, as multiples of a host's equal share of the slots. They
+/// differ because hosts receive unequal parts of the traffic.
+constexpr double kMinShareMultiple = 0.5;
+constexpr double kMaxShareMultiple = 4.0;
 
 }  // namespace
 
-void service_limit::SetShare(double slots, size_t hosts) {
-  const double share = slots / static_cast<double>(std::max<size_t>(hosts, 1));
-  least_ = std::max(1.0, share * kLeastPart);
-  most_ = std::max(least_, share * kMostPart);
+void service_limit::SetShare(double total_slots, size_t host_count) {
+  const double share =
+      total_slots / static_cast<double>(std::max<size_t>(host_count, 1));
+  least_ = std::max(1.0, share * kMinShareMultiple);
+  most_ = std::max(least_, share * kMaxShareMultiple);
   limit_ = limit_ == 0.0 ? most_ : std::clamp(limit_, least_, most_);
 }
 
 double service_limit::MostLoad(duration objective) const {
   if (unqueued_ <= duration{0}) {
-    return kMostMostLoad;
+    return kMaxLoadThreshold;
   }
-  const double room = std::chrono::duration<double>(objective) /
-                          std::chrono::duration<double>(unqueued_) -
-                      1.0;
-  return std::clamp(1.0 + kQueuePart * room, kLeastMostLoad, kMostMostLoad);
+  const double relative_slack = std::chrono::duration<double>(objective) /
+                                    std::chrono::duration<double>(unqueued_) -
+                                1.0;
+  return std::clamp(1.0 + kQueueFraction * relative_slack, kMinLoadThreshold,
+                    kMaxLoadThreshold);
 }
 
-void service_limit::OnAnswer(const told_answer& answer, int in_flight) {
+void service_limit::OnAnswer(const told_answer& response, int in_flight) {
   is_told_ = true;
-  mean_load_ += kLoadWeight * (answer.load - mean_load_);
-  if (answer.served && answer.load <= 1.0) {
+  mean_load_ += kLoadWeight * (response.load - mean_load_);
+  if (response.served && response.load <= 1.0) {
     unqueued_ =
         unqueued_ == duration{0}
-            ? answer.took
-            : unqueued_ + Part(answer.took - unqueued_, kUnqueuedWeight);
+            ? response.took
+            : unqueued_ + Part(response.took - unqueued_, kUnqueuedWeight);
   }
-  const double excess = mean_load_ - MostLoad(answer.objective);
+  const double excess = mean_load_ - MostLoad(response.objective);
   if (excess > 0.0) {
-    const double part = std::min(kMostDecrease, kDecrease * excess);
-    limit_ = std::max(least_, limit_ * (1.0 - part));
+    const double decrease_fraction =
+        std::min(kMaxDecreaseFraction, kDecreaseFactor * excess);
+    limit_ = std::max(least_, limit_ * (1.0 - decrease_fraction));
   } else if (in_flight + 1 >= limit_ / 2) {
-    // A limit that is not reached says nothing of what the targets can do.
+    // A limit that is not reached does not show what the targets can handle.
     limit_ = std::min(most_, limit_ + kIncrease / limit_);
   }
 }
--- a/src/core/waiting_policy.cc
+++ b/src/core/waiting_policy.cc
@@ -5,37 +5,40 @@
 namespace foxtailspread {
 namespace {
 
-/// Parts of the objective. The least wait gives a target that is slow, or was
-/// slow of late, a chance to show that it has recovered.
-constexpr double kMostWaitPart = 0.75;
-constexpr double kLeastWaitPart = 0.25;
-/// A queue in which a request waited for this part stands.
-constexpr double kStandingPart = 0.125;
-
-/// A queue in which nobody was refused for so many objectives is not
-/// overloaded.
-constexpr double kOverloadPart = 2.0;
-/// When a caller should come again that met an overloaded queue, as a part of
-/// its objective.
-constexpr double kOverloadRetryPart = 0.25;
+/// Bounds of the maximum wait, as fractions of the objective. The lower bound
+/// lets a target that is slow, or was slow recently, show that it has
+/// recovered.
+constexpr double kMaxWaitFraction = 0.75;
+constexpr double kMinWaitFraction = 0.25;
+/// A queue whose oldest request has waited longer than this fraction of the
+/// objective does not drain.
+constexpr double kStandingQueueFraction = 0.125;
+
+/// How long a queue counts as overloaded after its last refusal, as a multiple
+/// of the objective.
+constexpr double kOverloadMultiple = 2.0;
+/// When a caller that an overloaded queue refused should retry, as a fraction
+/// of its objective.
+constexpr double kOverloadRetryFraction = 0.25;
 
 }  // namespace
 
 duration OverloadTime(duration objective) {
-  return Part(objective, kOverloadPart);
+  return Part(objective, kOverloadMultiple);
 }
 
 duration RetryAfterOverload(duration objective) {
-  return Part(objective, kOverloadRetryPart);
+  return Part(objective, kOverloadRetryFraction);
 }
 
 duration MostWait(duration objective, duration likely_latency) {
-  return std::clamp(objective - likely_latency, Part(objective, kLeastWaitPart),
-                    Part(objective, kMostWaitPart));
+  return std::clamp(objective - likely_latency,
+                    Part(objective, kMinWaitFraction),
+                    Part(objective, kMaxWaitFraction));
 }
 
 bool GoesNewestFirst(duration oldest_wait, duration objective) {
-  return oldest_wait > Part(objective, kStandingPart);
+  return oldest_wait > Part(objective, kStandingQueueFraction);
 }
 
 }  // namespace foxtailspread
--- a/tests/crash_watch_test.cc
+++ b/tests/crash_watch_test.cc
@@ -1,4 +1,5 @@
-// Requests that crash the targets that run them, and those that only look so.
+// Tests that requests which crash their targets are told apart from requests
+// that merely got no complete response.
 
 #include "foxtailspread/crash_watch.h"
 
@@ -14,92 +15,97 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-constexpr uint64_t kContent = 77;
+constexpr uint64_t kContentHash = 77;
 
 class CrashWatchTest : public ::testing::Test {
  protected:
-  void Break(const std::string& target, uint64_t content = kContent) {
-    watch_.OnBroken(content, {.id = target, .started = 1}, now_);
+  /// Ends a request at the target without a complete response.
+  void BreakResponse(const std::string& target,
+                     uint64_t content_hash = kContentHash) {
+    watch_.OnBroken(content_hash, {.id = target, .started = 1}, now_);
   }
 
-  /// The store's list no longer has these targets' lives.
-  void Vanish(const std::set<std::string>& gone) {
+  /// Delivers a list of the store that lacks the lives of these targets.
+  void ListWithout(const std::set<std::string>& missing) {
     now_ += seconds{2};
     watch_.OnListed(
-        [&](const target_life& life) { return !gone.contains(life.id); }, now_);
+        [&](const target_life& life) { return !missing.contains(life.id); },
+        now_);
   }
 
-  void Crash(const std::string& target) {
-    Break(target);
-    Vanish({target});
+  void CrashTarget(const std::string& target) {
+    BreakResponse(target);
+    ListWithout({target});
   }
 
   crash_watch watch_;
   time_point now_{seconds{100}};
 };
 
-// A caller sends a request that kills each target that begins it, again and
-// again, through any host. Without a limit one such caller takes a whole
+// Guards against a caller that repeats, through any host, a request that
+// crashes each target that begins to run it: without a limit it takes a whole
 // service down.
 TEST_F(CrashWatchTest, ContentThatCrashedTwoTargetsIsRefused) {
-  Crash("a");
-  EXPECT_FALSE(watch_.IsCrashing(kContent, now_));
-  Crash("b");
-  EXPECT_TRUE(watch_.IsCrashing(kContent, now_));
-  EXPECT_FALSE(watch_.IsCrashing(kContent + 1, now_));
+  CrashTarget("a");
+  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
+  CrashTarget("b");
+  EXPECT_TRUE(watch_.IsCrashing(kContentHash, now_));
+  EXPECT_FALSE(watch_.IsCrashing(kContentHash + 1, now_));
 }
 
-// Links are reset and answers spoiled while targets live. Refusing what was
-// under way then would punish callers for the network.
-TEST_F(CrashWatchTest, BrokenAnswersOfTargetsThatLiveDoNotCount) {
-  for (const char* each : {"a", "b", "c"}) {
-    Break(each);
-    Vanish({});
+// Guards against refusing the requests of callers for network faults: links are
+// reset and responses corrupted while the targets run on.
+TEST_F(CrashWatchTest, BrokenResponsesOfRunningTargetsDoNotCount) {
+  for (const char* target : {"a", "b", "c"}) {
+    BreakResponse(target);
+    ListWithout({});
   }
-  EXPECT_FALSE(watch_.IsCrashing(kContent, now_));
+  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
 }
 
-TEST_F(CrashWatchTest, TargetThatEndsMuchLaterDidNotCrashOfIt) {
-  Break("a");
+TEST_F(CrashWatchTest, TargetThatEndsMuchLaterCountsNoCrash) {
+  BreakResponse("a");
   now_ += seconds{10};
-  Vanish({"a"});
-  Crash("b");
-  EXPECT_FALSE(watch_.IsCrashing(kContent, now_));
+  ListWithout({"a"});
+  CrashTarget("b");
+  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
 }
 
-// Ten callers ask for the same page when its target dies for another reason.
-TEST_F(CrashWatchTest, OneLostTargetCountsOnceForAContent) {
+// Guards against refusing a page that ten callers requested when its target
+// crashed for another reason.
+TEST_F(CrashWatchTest, LostTargetCountsOncePerContent) {
   for (int i = 0; i < 10; ++i) {
-    Break("a");
+    BreakResponse("a");
   }
-  Vanish({"a"});
-  EXPECT_FALSE(watch_.IsCrashing(kContent, now_));
+  ListWithout({"a"});
+  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
 }
 
-TEST_F(CrashWatchTest, AnswerProvesTheContentHarmless) {
-  Crash("a");
-  watch_.OnAnswered(kContent);
-  Crash("b");
-  EXPECT_FALSE(watch_.IsCrashing(kContent, now_));
+TEST_F(CrashWatchTest, ResponseClearsTheContent) {
+  CrashTarget("a");
+  watch_.OnAnswered(kContentHash);
+  CrashTarget("b");
+  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
 }
 
-// The second crash is seen by another host. Each host counting for itself
-// would let the request take two targets down at every host.
-TEST_F(CrashWatchTest, CrashesSeenByAnotherHostCount) {
-  crash_watch other;
-  Crash("a");
-  Crash("b");
-  other.Import(watch_.TakeNews(now_), now_);
-  EXPECT_TRUE(other.IsCrashing(kContent, now_));
-  EXPECT_TRUE(watch_.TakeNews(now_).empty()) << "said once";
-  EXPECT_EQ(other.Marks(20, now_).size(), 1U);
+// Guards against each host counting only the crashes that it observes, which
+// would let one request crash two targets per host.
+TEST_F(CrashWatchTest, CrashesReportedByAnotherHostCount) {
+  crash_watch other_host;
+  CrashTarget("a");
+  CrashTarget("b");
+  other_host.Import(watch_.TakeNews(now_), now_);
+  EXPECT_TRUE(other_host.IsCrashing(kContentHash, now_));
+  EXPECT_TRUE(watch_.TakeNews(now_).empty())
+      << "new marks must be returned only once";
+  EXPECT_EQ(other_host.Marks(20, now_).size(), 1U);
 }
 
-TEST_F(CrashWatchTest, ContentIsTriedAgainAfterSomeMinutes) {
-  Crash("a");
-  Crash("b");
+TEST_F(CrashWatchTest, MarkExpiresAfterAFewMinutes) {
+  CrashTarget("a");
+  CrashTarget("b");
   now_ += minutes{3};
-  EXPECT_FALSE(watch_.IsCrashing(kContent, now_));
+  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
 }
 
 }  // namespace
--- a/tests/target_health_test.cc
+++ b/tests/target_health_test.cc
@@ -1,4 +1,4 @@
-// What one host knows of a target that hundreds of hosts share.
+// Tests of the limit of one host at a target that many hosts share.
 
 #include "foxtailspread/target_health.h"
 
@@ -13,76 +13,79 @@
 using std::chrono::seconds;
 
 constexpr int kSlots = 3;
-constexpr duration kWork{milliseconds{300}};
+constexpr duration kRunTime{milliseconds{300}};
 constexpr duration kObjective{milliseconds{800}};
 
 class TargetHealthTest : public ::testing::Test {
  protected:
-  void Share(size_t hosts) { health_.SetShare(0, hosts); }
+  void SetHostCount(size_t host_count) { health_.SetShare(0, host_count); }
 
-  /// Sends one request that ends after `took`.
-  void Send(attempt_verdict verdict, duration took) {
-    const time_point sent = now_;
-    health_.OnSent(sent);
-    now_ += took;
-    health_.OnEnded(verdict, sent, kObjective, now_);
+  /// Sends one request that ends after `latency`.
+  void Send(attempt_verdict verdict, duration latency) {
+    const time_point sent_at = now_;
+    health_.OnSent(sent_at);
+    now_ += latency;
+    health_.OnEnded(verdict, sent_at, kObjective, now_);
   }
 
-  /// How many of `seconds` times ten tries, one each tenth of a second, are
-  /// sent, if the target sheds all of them.
-  int SentWhileShedding(int for_seconds) {
-    int sent = 0;
-    for (int i = 0; i < for_seconds * 10; ++i) {
+  /// Tries to send ten requests per second for `period_seconds` to a target
+  /// that sheds all of them. Returns how many the limit let pass.
+  int CountSentWhileShedding(int period_seconds) {
+    int sent_count = 0;
+    for (int i = 0; i < period_seconds * 10; ++i) {
       if (health_.HasRoom(now_)) {
-        ++sent;
+        ++sent_count;
         Send(attempt_verdict::kShed, milliseconds{2});
       }
       now_ += milliseconds{100};
     }
-    return sent;
+    return sent_count;
   }
 
-  target_health health_{kSlots, kWork};
+  target_health health_{kSlots, kRunTime};
   time_point now_{seconds{100}};
 };
 
-// A key gets a third of all requests of two hundred hosts, thirty times what
-// its owner can do. Each host that goes on sending what the owner sheds fills
-// its queue, makes it reset connections, and spends the budget of repeats.
-TEST_F(TargetHealthTest, OwnerThatShedsIsSharedByPausesAmongManyHosts) {
-  Share(195);
-  EXPECT_LE(SentWhileShedding(10), 10) << "of a hundred";
+// Guards against hosts that keep sending to an owner that sheds. One key gets a
+// third of all requests of two hundred hosts, thirty times the capacity of its
+// owner. Such hosts fill the owner's queue, make it reset connections and use
+// up the retry budget.
+TEST_F(TargetHealthTest, SheddingOwnerGetsFewRequestsFromEachOfManyHosts) {
+  SetHostCount(195);
+  EXPECT_LE(CountSentWhileShedding(10), 10)
+      << "requests sent out of 100 attempts";
 }
 
-// The same owner at nine hosts, which together do not fill it. Pauses made for
-// many hosts would leave it idle.
-TEST_F(TargetHealthTest, FewHostsKeepAFullTargetBusy) {
-  Share(9);
+// Guards against an idle owner: nine hosts that paused as long as hundreds of
+// hosts must would together send less than it can handle.
+TEST_F(TargetHealthTest, SheddingOwnerStaysBusyWithFewHosts) {
+  SetHostCount(9);
   constexpr int kSeconds = 10;
-  const int sent = SentWhileShedding(kSeconds);
-  const double all = 9.0 * sent / kSeconds;
-  EXPECT_GE(all, kSlots / 0.3) << "what the target can do in a second";
+  const int sent_count = CountSentWhileShedding(kSeconds);
+  const double sent_per_second = 9.0 * sent_count / kSeconds;
+  EXPECT_GE(sent_per_second, kSlots / 0.3)
+      << "must reach the target's capacity in requests per second";
 }
 
 TEST_F(TargetHealthTest, FirstServedRequestEndsThePauses) {
-  Share(195);
-  SentWhileShedding(5);
+  SetHostCount(195);
+  CountSentWhileShedding(5);
   now_ = std::max(now_, health_.PausedUntil());
   ASSERT_TRUE(health_.HasRoom(now_));
-  Send(attempt_verdict::kServed, kWork);
+  Send(attempt_verdict::kServed, kRunTime);
   EXPECT_TRUE(health_.HasRoom(now_));
 }
 
-// A target sheds one request by chance. Left alone for it, its keys would have
-// nobody who answers.
-TEST_F(TargetHealthTest, SingleShedsMakeNoPause) {
-  Share(195);
+// Guards against pauses after a few sheds by chance: requests for the target's
+// keys can go to no other target.
+TEST_F(TargetHealthTest, FewConsecutiveShedsCauseNoPause) {
+  SetHostCount(195);
   for (int i = 0; i < 10; ++i) {
     Send(attempt_verdict::kShed, milliseconds{2});
     EXPECT_TRUE(health_.HasRoom(now_));
     Send(attempt_verdict::kShed, milliseconds{2});
     EXPECT_TRUE(health_.HasRoom(now_));
-    Send(attempt_verdict::kServed, kWork);
+    Send(attempt_verdict::kServed, kRunTime);
   }
 }
 
