--- a/include/foxtailspread/hot_keys.h
+++ b/include/foxtailspread/hot_keys.h
@@ -2,7 +2,7 @@
 #define FOXTAILSPREAD_HOT_KEYS_H_
 
 /// @file
-/// Finds the few keys that carry much of the load, in bounded memory.
+/// Finds the few keys that make up much of the load, in bounded memory.
 
 #include <boost/intrusive/set.hpp>
 #include <boost/intrusive/unordered_set.hpp>
@@ -17,37 +17,38 @@
   uint64_t key_hash = 0;
   int32_t bucket = 0;
   double count = 0;  ///< At most the true decayed count plus `error`.
-  double error = 0;  ///< How much of it may belong to former keys.
+  double error = 0;  ///< How much of `count` may stem from previous
+                     ///< keys of the same counter.
 };
 
 /// The Space-Saving sketch with exponential decay.
 ///
 /// With m counters every key that makes up more than 1/m of the decayed total
-/// is in the sketch. Decay lets yesterday's hot keys leave: without it a key
-/// that was hot for hours outweighs those of the last minutes.
+/// is in the sketch. Decay removes keys that are no longer hot: without it a
+/// key that was hot for hours outweighs those of the last minutes.
 ///
 /// @code
 /// hot_key_sketch sketch(256);
-/// sketch.Record(key_hash, bucket);          // with each request
-/// sketch.Decay(0.5);                        // each period
+/// sketch.Record(key_hash, bucket);          // For each request.
+/// sketch.Decay(0.5);                        // Once per period.
 /// for (const frequent_key& key : sketch.Top(19)) Consider(key);
 /// @endcode
 class hot_key_sketch {
  public:
-  /// Memory for `counters` keys is taken at once and never grows.
+  /// Allocates the memory for `counters` keys once; it never grows.
   explicit hot_key_sketch(size_t counters);
   hot_key_sketch(const hot_key_sketch&) = delete;
   hot_key_sketch& operator=(const hot_key_sketch&) = delete;
 
-  /// Counts one request, or work of that weight.
+  /// Counts one request, or work of the given weight.
   void Record(uint64_t key_hash, int32_t bucket, double weight = 1);
   /// Multiplies all counts, and so the total, by `factor` in (0, 1].
   void Decay(double factor);
 
-  /// Returns up to `count` keys, the most frequent first; only those whose
-  /// count without the possible error is above zero.
+  /// Returns up to `count` keys, the most frequent first. Leaves out keys whose
+  /// count is zero after subtracting the possible error.
   std::vector<frequent_key> Top(size_t count) const;
-  /// Returns the decayed sum of all that was recorded.
+  /// Returns the decayed sum of all recorded weights.
   double Total() const { return total_; }
 
  private:
@@ -76,6 +77,8 @@
           &counter::key_hook>,
       boost::intrusive::key_of_value<key_of_counter>>;
 
+  /// Returns a counter for a new key: an unused one, or that of the least
+  /// frequent key.
   counter& Replace(uint64_t key_hash, int32_t bucket);
 
   std::vector<counter> counters_;
--- a/include/foxtailspread/key_balance.h
+++ b/include/foxtailspread/key_balance.h
@@ -2,11 +2,12 @@
 #define FOXTAILSPREAD_KEY_BALANCE_H_
 
 /// @file
-/// Which keys should change hands so that the load of a keyed service is
-/// spread by what its targets can do.
+/// Plans which keys should change owner so that the load of a keyed service is
+/// distributed in proportion to the capacity of its targets.
 ///
-/// Load pattern: a few neighbouring keys are far busier than the rest, which
-/// ones changes within seconds, and targets come, go and differ in speed.
+/// Load pattern: a few neighbouring keys are far busier than the rest, the set
+/// of busy keys changes within seconds, and targets join, leave and differ in
+/// speed.
 
 #include <cstdint>
 #include <span>
@@ -21,47 +22,50 @@
 /// A target that may own keys.
 struct balance_target {
   target_life life;
-  double capacity = 1.0;  ///< Relative to the others'.
+  double capacity = 1.0;  ///< Relative to the other targets.
 };
 
-/// Keys that should go to another owner.
+/// Adjacent keys that should get a new owner.
 struct key_move {
   key_point first = 0;
-  key_point last = 0;
+  key_point last = 0;  ///< Inclusive.
   target_life to;
 };
 
-/// How eager a plan is.
+/// Thresholds for planning moves.
 struct balance_limits {
-  /// Above this multiple of its fair share a target gives keys away; moving
-  /// for less costs more requests than it spares.
+  /// A target gives keys away if its load is above this multiple of its fair
+  /// share. Moving keys for less costs more requests than it saves.
   double overload = 1.25;
-  /// Below this part of its fair share a target is given keys.
+  /// A target receives keys if its load is below this fraction of its fair
+  /// share.
   double underload = 0.6;
-  /// Requests a second below which a difference is chance.
+  /// Smallest load worth moving, in requests per second. A smaller difference
+  /// is random variation.
   double least_load = 3.0;
-  /// Time constant of the mean that measured the loads, 0 for exact loads.
-  /// Differences that chance explains move nothing: among hundreds of targets
-  /// some always look overloaded or idle.
+  /// Time constant of the moving average that measured the loads; 0 for exact
+  /// loads. Differences within the random variation of that average move no
+  /// keys: among hundreds of targets some always look overloaded or idle.
   duration averaged{0};
 };
 
-/// Load of each key, requests a second; empty for none.
+/// Load of each key in requests per second; empty if there is no load.
 using key_loads = std::span<const double>;
 
-/// Plans moves of settled ranges between `targets`, as many as it takes: each
-/// target receives about once. Ranges on their way stay as they are.
+/// Plans moves of granted ranges between `targets`: as many as needed, but at
+/// most as many as there are targets, so that each target receives keys about
+/// once. Ranges whose owner has not confirmed the grant stay as they are.
 std::vector<key_move> PlanMoves(const key_map& map, key_loads loads,
                                 std::span<const balance_target> targets,
                                 const balance_limits& limits);
 
-/// Makes the first map of a service: all keys, dealt by capacity, with fences
-/// from `first_fence` on.
+/// Returns the first map of a service: all keys, distributed in proportion to
+/// capacity, with `first_fence` as the fence of each range.
 key_map DealKeys(std::span<const balance_target> targets,
                  fence_number first_fence);
 
-/// Returns the target with the least load for its capacity; nullptr if there
-/// is none. `loads` may be empty.
+/// Returns the target with the lowest ratio of load to capacity, or nullptr if
+/// `targets` is empty. `loads` may be empty.
 const balance_target* LeastLoaded(const key_map& map, key_loads loads,
                                   std::span<const balance_target> targets);
 
--- a/src/core/hot_keys.cc
+++ b/src/core/hot_keys.cc
@@ -13,13 +13,13 @@
 void hot_key_sketch::Record(uint64_t key_hash, int32_t bucket, double weight) {
   total_ += weight;
   const auto found = by_key_.find(key_hash);
-  counter& counted =
+  counter& key_counter =
       found != by_key_.end() ? *found : Replace(key_hash, bucket);
-  if (counted.order_hook.is_linked()) {
-    by_count_.erase(by_count_.iterator_to(counted));
+  if (key_counter.order_hook.is_linked()) {
+    by_count_.erase(by_count_.iterator_to(key_counter));
   }
-  counted.count += weight;
-  by_count_.insert(counted);
+  key_counter.count += weight;
+  by_count_.insert(key_counter);
 }
 
 void hot_key_sketch::Decay(double factor) {
@@ -46,21 +46,21 @@
 
 hot_key_sketch::counter& hot_key_sketch::Replace(uint64_t key_hash,
                                                  int32_t bucket) {
-  counter* taken = nullptr;
+  counter* assigned = nullptr;
   if (used_ < counters_.size()) {
-    taken = &counters_[used_++];
+    assigned = &counters_[used_++];
   } else {
-    // The newcomer takes over the least count: it may have been counted there
-    // before, and so no frequent key is ever missed.
-    taken = &*by_count_.begin();
+    // The new key takes over the lowest count: it may have been counted there
+    // earlier, so no frequent key is ever missed.
+    assigned = &*by_count_.begin();
     by_count_.erase(by_count_.begin());
-    by_key_.erase(by_key_.iterator_to(*taken));
+    by_key_.erase(by_key_.iterator_to(*assigned));
   }
-  taken->error = taken->count;
-  taken->key_hash = key_hash;
-  taken->bucket = bucket;
-  by_key_.insert(*taken);
-  return *taken;
+  assigned->error = assigned->count;
+  assigned->key_hash = key_hash;
+  assigned->bucket = bucket;
+  by_key_.insert(*assigned);
+  return *assigned;
 }
 
 }  // namespace foxtailspread
--- a/src/core/key_balance.cc
+++ b/src/core/key_balance.cc
@@ -11,73 +11,77 @@
 namespace foxtailspread {
 namespace {
 
-/// Load that every key counts for besides its requests, so that keys are
-/// spread evenly while nothing is asked for: the whole space weighs as much as
-/// one request a second and target.
-constexpr double kSpaceLoad = 1.0;
-
-/// Least part of its fair share that a target without keys is given at once.
-constexpr double kFirstPart = 0.05;
-
-/// Standard deviations beyond which a difference of load is not taken for
-/// chance.
-constexpr double kChanceDeviations = 3.0;
-
-/// Load of any range of keys, in constant time.
-class range_load {
+/// Load added for the mere ownership of keys, so that keys are distributed
+/// evenly while there are no requests: the whole key space together counts as
+/// this many requests per second and target.
+constexpr double kBaseLoadPerTarget = 1.0;
+
+/// Smallest load that one move gives to an underloaded target, such as one
+/// without keys, as a fraction of its fair share.
+constexpr double kMinUnderloadedMoveFraction = 0.05;
+
+/// Differences in load of up to this many standard deviations are treated as
+/// random variation.
+constexpr double kNoiseDeviations = 3.0;
+
+/// Prefix sums of the load: returns the load of any range of keys in constant
+/// time.
+class load_prefix_sums {
  public:
-  range_load(key_loads loads, size_t targets) : sums_(kKeys + 1, 0.0) {
-    const double base =
-        kSpaceLoad * static_cast<double>(targets) / static_cast<double>(kKeys);
+  load_prefix_sums(key_loads loads, size_t target_count)
+      : sums_(kKeys + 1, 0.0) {
+    const double base = kBaseLoadPerTarget * static_cast<double>(target_count) /
+                        static_cast<double>(kKeys);
     for (size_t key = 0; key < kKeys; ++key) {
       sums_[key + 1] = sums_[key] + base + (loads.empty() ? 0.0 : loads[key]);
     }
   }
 
-  double Of(key_point first, key_point last) const {
+  double Sum(key_point first, key_point last) const {
     return sums_[size_t{last} + 1] - sums_[first];
   }
 
  private:
-  std::vector<double> sums_;  ///< Of all keys below each.
+  std::vector<double> sums_;  ///< Per key: the load of all lower keys.
 };
 
 /// A range of the map while moves are planned.
 struct planned_range {
   key_point first = 0;
   key_point last = 0;
-  bool settled = false;
-  size_t before = 0;  ///< Its owner's place among the targets, or kNoTarget.
-  size_t owner = 0;   ///< The same, as planned.
+  bool granted = false;
+  size_t current_owner = 0;  ///< Index among the targets, or kNoTarget.
+  size_t planned_owner = 0;  ///< The same, after the planned moves.
 };
 
 constexpr size_t kNoTarget = std::numeric_limits<size_t>::max();
 
 struct target_state {
   double load = 0.0;
-  double goal = 0.0;
-  bool stuck = false;  ///< Its load cannot be cut further.
+  double fair_load = 0.0;
+  bool cannot_give = false;  ///< No move can reduce its load further.
 
-  double Ratio() const { return goal > 0.0 ? load / goal : 0.0; }
+  double LoadRatio() const { return fair_load > 0.0 ? load / fair_load : 0.0; }
 };
 
-/// Returns by how much a measured load may differ from the true one by chance.
-double ChanceOf(double load, const balance_limits& limits) {
-  // An exponential mean over `averaged` has the variance of a count over twice
-  // that time.
+/// Returns by how much a measured load may randomly differ from the true one.
+double NoiseMargin(double load, const balance_limits& limits) {
+  // An exponential average has the variance of a count over twice its time
+  // constant.
   const double seconds =
       2.0 * std::chrono::duration<double>(limits.averaged).count();
-  return seconds > 0.0 ? kChanceDeviations * std::sqrt(load / seconds) : 0.0;
+  return seconds > 0.0 ? kNoiseDeviations * std::sqrt(load / seconds) : 0.0;
 }
 
-struct cut {
-  size_t range = 0;  ///< Its place in the plan.
+/// Keys at one end of a planned range, or all of it.
+struct range_part {
+  size_t range_index = 0;  ///< Among the planned ranges.
   key_point first = 0;
   key_point last = 0;
   double load = 0.0;
 };
 
-/// Plans moves one by one, each on top of those before.
+/// Plans moves one at a time, each based on the result of the previous ones.
 class move_planner {
  public:
   move_planner(const key_map& map, key_loads loads,
@@ -87,148 +91,160 @@
         targets_(targets),
         limits_(limits),
         states_(targets.size()) {
-    std::unordered_map<std::string_view, size_t> places;
+    std::unordered_map<std::string_view, size_t> index_by_id;
     double capacity = 0.0;
     for (size_t i = 0; i < targets.size(); ++i) {
-      places.emplace(targets[i].life.id, i);
+      index_by_id.emplace(targets[i].life.id, i);
       capacity += targets[i].capacity;
     }
     double total = 0.0;
     for (const key_range& range : map.ranges) {
-      const auto found = places.find(range.owner.id);
-      const bool known =
-          found != places.end() && targets[found->second].life == range.owner;
+      const auto found = index_by_id.find(range.owner.id);
+      const bool known = found != index_by_id.end() &&
+                         targets[found->second].life == range.owner;
       const size_t owner = known ? found->second : kNoTarget;
       ranges_.push_back({.first = range.first,
                          .last = range.last,
-                         .settled = range.granted,
-                         .before = owner,
-                         .owner = owner});
-      const double load = loads_.Of(range.first, range.last);
+                         .granted = range.granted,
+                         .current_owner = owner,
+                         .planned_owner = owner});
+      const double load = loads_.Sum(range.first, range.last);
       total += load;
       if (known) {
         states_[owner].load += load;
       }
     }
     for (size_t i = 0; i < targets.size(); ++i) {
-      states_[i].goal = total * targets[i].capacity / capacity;
+      states_[i].fair_load = total * targets[i].capacity / capacity;
     }
   }
 
-  /// Plans one more move. Returns whether there was one to make.
-  bool Step() {
+  /// Plans one more move. Returns false if none is needed or possible.
+  bool PlanNextMove() {
     while (true) {
-      const size_t giver = Busiest();
-      const size_t receiver = Idlest();
-      if (giver == kNoTarget ||
-          (!IsOver(states_[giver]) && !IsUnder(states_[receiver]))) {
+      const size_t donor = MostLoadedDonor();
+      const size_t receiver = LeastLoadedTarget();
+      if (donor == kNoTarget || (!IsOverloaded(states_[donor]) &&
+                                 !IsUnderloaded(states_[receiver]))) {
         return false;
       }
-      if (const auto part = FindMove(giver, receiver)) {
-        Take(*part, receiver);
+      if (const auto part = FindMove(donor, receiver)) {
+        ApplyMove(*part, receiver);
         return true;
       }
-      states_[giver].stuck = true;
+      states_[donor].cannot_give = true;
     }
   }
 
-  /// Keys whose planned owner is another one than before.
+  /// Returns the keys whose planned owner differs from the current one.
   std::vector<key_move> Moves() const {
     std::vector<key_move> moves;
     for (const planned_range& range : ranges_) {
-      if (range.owner == range.before) {
+      if (range.planned_owner == range.current_owner) {
         continue;
       }
-      const target_life& to = targets_[range.owner].life;
-      const bool joins = !moves.empty() && moves.back().to == to &&
-                         moves.back().last + 1 == range.first;
-      if (joins) {
+      const target_life& new_owner = targets_[range.planned_owner].life;
+      const bool extends_last_move = !moves.empty() &&
+                                     moves.back().to == new_owner &&
+                                     moves.back().last + 1 == range.first;
+      if (extends_last_move) {
         moves.back().last = range.last;
       } else {
-        moves.push_back({range.first, range.last, to});
+        moves.push_back({range.first, range.last, new_owner});
       }
     }
     return moves;
   }
 
  private:
-  bool IsOver(const target_state& state) const {
-    return state.load > state.goal * limits_.overload &&
-           state.load - state.goal > ChanceOf(state.goal, limits_);
+  bool IsOverloaded(const target_state& state) const {
+    return state.load > state.fair_load * limits_.overload &&
+           state.load - state.fair_load > NoiseMargin(state.fair_load, limits_);
   }
 
-  bool IsUnder(const target_state& state) const {
+  bool IsUnderloaded(const target_state& state) const {
     const bool has_no_keys = state.load <= 0.0;
-    return has_no_keys ||
-           (state.load < state.goal * limits_.underload &&
-            state.goal - state.load > ChanceOf(state.goal, limits_));
+    return has_no_keys || (state.load < state.fair_load * limits_.underload &&
+                           state.fair_load - state.load >
+                               NoiseMargin(state.fair_load, limits_));
   }
 
-  size_t Busiest() const {
+  /// Returns the target with the highest load ratio among those that can give
+  /// load away, or kNoTarget.
+  size_t MostLoadedDonor() const {
     size_t found = kNoTarget;
     for (size_t i = 0; i < states_.size(); ++i) {
-      const bool busier =
-          found == kNoTarget || states_[i].Ratio() > states_[found].Ratio();
-      found = !states_[i].stuck && busier ? i : found;
+      const bool is_busier =
+          found == kNoTarget ||
+          states_[i].LoadRatio() > states_[found].LoadRatio();
+      found = !states_[i].cannot_give && is_busier ? i : found;
     }
     return found;
   }
 
-  size_t Idlest() const {
-    const auto less = [](const target_state& a, const target_state& b) {
-      return a.Ratio() < b.Ratio();
+  size_t LeastLoadedTarget() const {
+    const auto has_lower_ratio = [](const target_state& a,
+                                    const target_state& b) {
+      return a.LoadRatio() < b.LoadRatio();
     };
-    const auto low = std::min_element(states_.begin(), states_.end(), less);
-    return static_cast<size_t>(low - states_.begin());
+    const auto lowest =
+        std::min_element(states_.begin(), states_.end(), has_lower_ratio);
+    return static_cast<size_t>(lowest - states_.begin());
   }
 
-  /// Returns the part at one end of a range whose load comes nearest to
-  /// `wanted` without passing `most`, if any key fits.
-  std::optional<cut> CutEnd(size_t place, double wanted, double most,
-                            bool from_front) const {
-    const planned_range& range = ranges_[place];
-    const size_t keys = size_t{range.last} - range.first + 1;
-    const auto part = [&](size_t count) {
-      cut made{.range = place, .first = range.first, .last = range.last};
+  /// Returns the smallest part at one end of a range whose load reaches
+  /// `wanted_load`, or the whole range if its load is lower. If the load of
+  /// that part exceeds `max_load`, returns the part with one key less, if any
+  /// is left.
+  std::optional<range_part> FindEndPart(size_t range_index, double wanted_load,
+                                        double max_load,
+                                        bool from_front) const {
+    const planned_range& range = ranges_[range_index];
+    const size_t range_size = size_t{range.last} - range.first + 1;
+    const auto end_part = [&](size_t key_count) {
+      range_part part{
+          .range_index = range_index, .first = range.first, .last = range.last};
       if (from_front) {
-        made.last = static_cast<key_point>(range.first + count - 1);
+        part.last = static_cast<key_point>(range.first + key_count - 1);
       } else {
-        made.first = static_cast<key_point>(range.last - count + 1);
+        part.first = static_cast<key_point>(range.last - key_count + 1);
       }
-      made.load = loads_.Of(made.first, made.last);
-      return made;
+      part.load = loads_.Sum(part.first, part.last);
+      return part;
     };
-    // The fewest keys that reach `wanted`, by bisection.
+    // Finds the fewest keys that reach `wanted_load` by binary search.
     size_t low = 1;
-    size_t high = keys;
+    size_t high = range_size;
     while (low < high) {
       const size_t middle = low + (high - low) / 2;
-      if (part(middle).load >= wanted) {
+      if (end_part(middle).load >= wanted_load) {
         high = middle;
       } else {
         low = middle + 1;
       }
     }
-    const cut reaching = part(low);
-    if (reaching.load <= most) {
-      return reaching;
+    const range_part sufficient = end_part(low);
+    if (sufficient.load <= max_load) {
+      return sufficient;
     }
-    return low > 1 ? std::optional{part(low - 1)} : std::nullopt;
+    return low > 1 ? std::optional{end_part(low - 1)} : std::nullopt;
   }
 
-  /// Finds keys of `from` worth about `wanted`, or up to `most`.
-  std::optional<cut> FindCut(size_t from, double wanted, double most) const {
-    std::optional<cut> best;
-    for (size_t place = 0; place < ranges_.size(); ++place) {
-      if (!ranges_[place].settled || ranges_[place].owner != from) {
+  /// Finds adjacent keys of `owner` whose load is closest to `wanted_load` and
+  /// at most `max_load`.
+  std::optional<range_part> FindPart(size_t owner, double wanted_load,
+                                     double max_load) const {
+    std::optional<range_part> best;
+    for (size_t i = 0; i < ranges_.size(); ++i) {
+      if (!ranges_[i].granted || ranges_[i].planned_owner != owner) {
         continue;
       }
-      for (const bool front : {true, false}) {
-        const auto part = CutEnd(place, wanted, most, front);
-        const bool nearer =
-            part && (!best || std::abs(part->load - wanted) <
-                                  std::abs(best->load - wanted));
-        if (nearer) {
+      for (const bool from_front : {true, false}) {
+        const auto part = FindEndPart(i, wanted_load, max_load, from_front);
+        const bool is_closer =
+            part && (!best || std::abs(part->load - wanted_load) <
+                                  std::abs(best->load - wanted_load));
+        if (is_closer) {
           best = part;
         }
       }
@@ -236,69 +252,73 @@
     return best;
   }
 
-  /// Finds keys of `giver` whose move to `receiver` makes the busier of the
-  /// two less busy.
-  std::optional<cut> FindMove(size_t from, size_t to) const {
-    // Passing the wanted load a little is better than leaving a hot key where
-    // it is.
-    constexpr double kOvershoot = 1.4;
-    constexpr double kLeastPart = 0.2;
-    const target_state& giver = states_[from];
-    const target_state& receiver = states_[to];
-    const double least = IsUnder(receiver)
-                             ? receiver.goal * kFirstPart
-                             : std::min(limits_.least_load, receiver.goal / 2);
-    const double wanted =
-        std::min(giver.load - giver.goal, receiver.goal - receiver.load);
-    if (wanted >= least) {
-      const auto part = FindCut(from, wanted, wanted * kOvershoot);
-      if (part && part->load >= wanted * kLeastPart &&
-          Eases(*part, giver, receiver)) {
+  /// Finds keys of the donor whose move to the receiver lowers the higher of
+  /// the two load ratios.
+  std::optional<range_part> FindMove(size_t donor_index,
+                                     size_t receiver_index) const {
+    // Exceeding the wanted load a little is better than leaving a hot key with
+    // its owner.
+    constexpr double kMaxOvershootRatio = 1.4;
+    constexpr double kMinWantedFraction = 0.2;
+    const target_state& donor = states_[donor_index];
+    const target_state& receiver = states_[receiver_index];
+    const double min_load =
+        IsUnderloaded(receiver)
+            ? receiver.fair_load * kMinUnderloadedMoveFraction
+            : std::min(limits_.least_load, receiver.fair_load / 2);
+    const double wanted_load = std::min(donor.load - donor.fair_load,
+                                        receiver.fair_load - receiver.load);
+    if (wanted_load >= min_load) {
+      const auto part =
+          FindPart(donor_index, wanted_load, wanted_load * kMaxOvershootRatio);
+      if (part && part->load >= wanted_load * kMinWantedFraction &&
+          LowersMaxRatio(*part, donor, receiver)) {
         return part;
       }
     }
-    // A key too hot to fit into what the receiver lacks goes alone: with its
-    // neighbours it would only overload the next owner.
-    const double at_least = std::max(wanted, least);
-    const auto part =
-        FindCut(from, at_least, std::numeric_limits<double>::infinity());
-    return part && part->load >= at_least && Eases(*part, giver, receiver)
+    // A key whose load exceeds what the receiver lacks is moved alone: together
+    // with its neighbours it would overload the new owner.
+    const double min_hot_load = std::max(wanted_load, min_load);
+    const auto part = FindPart(donor_index, min_hot_load,
+                               std::numeric_limits<double>::infinity());
+    return part && part->load >= min_hot_load &&
+                   LowersMaxRatio(*part, donor, receiver)
                ? part
                : std::nullopt;
   }
 
-  static bool Eases(const cut& part, const target_state& giver,
-                    const target_state& receiver) {
-    return (receiver.load + part.load) / receiver.goal < giver.Ratio();
+  static bool LowersMaxRatio(const range_part& part, const target_state& donor,
+                             const target_state& receiver) {
+    return (receiver.load + part.load) / receiver.fair_load < donor.LoadRatio();
   }
 
-  void Take(const cut& part, size_t receiver) {
-    const planned_range whole = ranges_[part.range];
-    states_[whole.owner].load -= part.load;
+  void ApplyMove(const range_part& part, size_t receiver) {
+    const planned_range whole = ranges_[part.range_index];
+    states_[whole.planned_owner].load -= part.load;
     states_[receiver].load += part.load;
-    states_[receiver].stuck = false;
+    states_[receiver].cannot_give = false;
     planned_range moved = whole;
     moved.first = part.first;
     moved.last = part.last;
-    moved.owner = receiver;
-    planned_range rest = whole;
+    moved.planned_owner = receiver;
+    planned_range remainder = whole;
     if (part.last == whole.last && part.first == whole.first) {
-      ranges_[part.range] = moved;
+      ranges_[part.range_index] = moved;
       return;
     }
-    const bool front = part.first == whole.first;
-    if (front) {
-      rest.first = static_cast<key_point>(part.last + 1);
+    const bool is_front = part.first == whole.first;
+    if (is_front) {
+      remainder.first = static_cast<key_point>(part.last + 1);
     } else {
-      rest.last = static_cast<key_point>(part.first - 1);
+      remainder.last = static_cast<key_point>(part.first - 1);
     }
-    ranges_[part.range] = front ? moved : rest;
+    ranges_[part.range_index] = is_front ? moved : remainder;
     ranges_.insert(
-        ranges_.begin() + static_cast<std::ptrdiff_t>(part.range) + 1,
-        front ? rest : moved);
+        ranges_.begin() + static_cast<std::ptrdiff_t>(part.range_index) + 1,
+        is_front ? remainder : moved);
   }
 
-  range_load loads_;
+  load_prefix_sums loads_;
   std::span<const balance_target> targets_;
   const balance_limits& limits_;
   std::vector<target_state> states_;
@@ -314,7 +334,7 @@
     return {};
   }
   move_planner planner(map, loads, targets, limits);
-  for (size_t i = 0; i < targets.size() && planner.Step(); ++i) {
+  for (size_t i = 0; i < targets.size() && planner.PlanNextMove(); ++i) {
   }
   return planner.Moves();
 }
@@ -324,41 +344,43 @@
   key_map map;
   map.last_fence = first_fence;
   double capacity = 0.0;
-  for (const balance_target& each : targets) {
-    capacity += each.capacity;
+  for (const balance_target& target : targets) {
+    capacity += target.capacity;
   }
-  double dealt = 0.0;
-  uint32_t next = 0;
-  for (const balance_target& each : targets) {
-    dealt += each.capacity;
-    const bool is_last = &each == &targets.back();
-    const auto end =
-        static_cast<uint32_t>(is_last ? kKeys : kKeys * dealt / capacity);
-    if (end <= next) {
+  double assigned_capacity = 0.0;
+  uint32_t next_key = 0;
+  for (const balance_target& target : targets) {
+    assigned_capacity += target.capacity;
+    const bool is_last = &target == &targets.back();
+    const auto end = static_cast<uint32_t>(
+        is_last ? kKeys : kKeys * assigned_capacity / capacity);
+    if (end <= next_key) {
       continue;
     }
-    map.ranges.push_back({.first = static_cast<key_point>(next),
+    map.ranges.push_back({.first = static_cast<key_point>(next_key),
                           .last = static_cast<key_point>(end - 1),
-                          .owner = each.life,
+                          .owner = target.life,
                           .fence = first_fence});
-    next = end;
+    next_key = end;
   }
   return map;
 }
 
 const balance_target* LeastLoaded(const key_map& map, key_loads loads,
                                   std::span<const balance_target> targets) {
-  const range_load load(loads, targets.size());
+  const load_prefix_sums prefix_sums(loads, targets.size());
   const balance_target* least = nullptr;
   double least_ratio = 0.0;
-  for (const balance_target& each : targets) {
-    double sum = 0.0;
+  for (const balance_target& target : targets) {
+    double load = 0.0;
     for (const key_range& range : map.ranges) {
-      sum += range.owner == each.life ? load.Of(range.first, range.last) : 0.0;
+      load += range.owner == target.life
+                  ? prefix_sums.Sum(range.first, range.last)
+                  : 0.0;
     }
-    const double ratio = sum / each.capacity;
+    const double ratio = load / target.capacity;
     if (least == nullptr || ratio < least_ratio) {
-      least = &each;
+      least = &target;
       least_ratio = ratio;
     }
   }
