--- a/include/foxtailspread/key_load.h
+++ b/include/foxtailspread/key_load.h
@@ -2,11 +2,11 @@
 #define FOXTAILSPREAD_KEY_LOAD_H_
 
 /// @file
-/// How many requests a second each key of a keyed service gets.
+/// Measures the request rate of each key of a keyed service.
 ///
-/// Load pattern: most keys are asked for steadily, at rates that are known
-/// only through counts with chance in them; now and then some neighbours
-/// become a hundred times as busy within a moment.
+/// Load pattern: most keys get requests at a steady rate, which is known only
+/// from counts with random variation; now and then some neighbouring keys
+/// suddenly become a hundred times as busy.
 
 #include <cstdint>
 #include <vector>
@@ -16,39 +16,43 @@
 
 namespace foxtailspread {
 
-/// Running means of counted requests.
+/// Exponential moving averages of counted requests.
 ///
 /// @code
 /// load.Add(key, count);
-/// if (load.Average(now)) Plan(load.recent());
+/// if (load.UpdateAverages(now)) Plan(load.recent_rates());
 /// @endcode
 class key_load {
  public:
-  /// Time constants of the two means. The quick one follows keys that become
-  /// busy within a second; the steady one shows what is left without taking
-  /// chance for a difference.
+  /// Time constants of the two averages. The recent one follows keys that
+  /// become busy within a second; the steady one shows the differences that
+  /// remain, without mistaking random variation for one.
   static constexpr duration kRecentTime{std::chrono::milliseconds{700}};
   static constexpr duration kSteadyTime{std::chrono::milliseconds{4700}};
 
-  /// Counts `count` requests for `key`; keys out of range are left out.
+  /// Counts `count` requests for `key`; ignores keys out of range.
   void Add(uint32_t key, uint32_t count);
 
-  /// Takes what was counted into the means, if enough time has passed since
-  /// the last call that did. Returns whether it did.
+  /// Adds the counts to the averages if enough time has passed since the last
+  /// update. Returns whether it updated them.
   bool Average(time_point now);
 
-  /// Requests a second of each key: of the last second or so, and of the last
-  /// several. Empty until something was averaged.
+  /// Request rate of each key in requests per second, averaged over about the
+  /// last second and over the last several seconds. Empty until the first
+  /// update.
   key_loads recent() const { return recent_; }
   key_loads steady() const { return steady_; }
 
  private:
+  /// Returns the requests expected in a block of keys within `seconds`.
   double ExpectedOf(size_t block, double seconds) const;
+  /// Whether the requests counted for a block exceed the expected number by
+  /// more than random variation explains.
   bool HasJumped(size_t block, double seconds) const;
 
   std::vector<double> recent_;
   std::vector<double> steady_;
-  std::vector<uint32_t> counts_;  ///< Since `counted_from_`.
+  std::vector<uint32_t> counts_;  ///< Requests since `count_start_`.
   time_point counted_from_{};
 };
 
--- a/include/foxtailspread/key_map.h
+++ b/include/foxtailspread/key_map.h
@@ -2,7 +2,8 @@
 #define FOXTAILSPREAD_KEY_MAP_H_
 
 /// @file
-/// Which target owns which keys of a keyed service, as recorded in the store.
+/// The map from the keys of a keyed service to their owners, as recorded in the
+/// store.
 
 #include <cstddef>
 #include <cstdint>
@@ -17,7 +18,7 @@
 
 namespace foxtailspread {
 
-/// A key's place in the key space.
+/// Position of a key in the key space.
 using key_point = uint16_t;
 
 inline constexpr key_point kLastKey = std::numeric_limits<key_point>::max();
@@ -25,14 +26,15 @@
 /// Size of the key space.
 inline constexpr size_t kKeys = size_t{kLastKey} + 1;
 
-/// A fencing number: of two grants of a key the one with the higher number is
-/// the newer. No number is ever used for two different grants.
+/// A fencing token: of two grants of a key the one with the higher number is
+/// the newer. A number is never used for two different grants.
 using fence_number = uint64_t;
 
-/// One life of a target. Some targets start again under the id that they had.
+/// One run of a target, from its start to its end. Some targets restart under
+/// the same id; the start time tells their runs apart.
 struct target_life {
   std::string id;
-  uint64_t started = 0;  ///< Unix milliseconds of its start; 0 if unknown.
+  uint64_t started = 0;  ///< Unix time of the start in ms; 0 if unknown.
 
   bool operator==(const target_life&) const = default;
 };
@@ -45,8 +47,8 @@
   fence_number fence = 0;
   /// The owner has confirmed the grant; requests may be sent to it.
   bool granted = false;
-  /// Set until the owner before this one has let go of the keys. Only then
-  /// may `owner` get its grant.
+  /// Set until the previous owner has given up the keys. Only then may they be
+  /// granted to `owner`.
   std::optional<target_life> former{};
 
   bool Contains(key_point key) const { return first <= key && key <= last; }
@@ -55,7 +57,7 @@
 
 /// All keys of one service: ranges in order, without gaps.
 struct key_map {
-  fence_number last_fence = 0;  ///< The highest that any range has had.
+  fence_number last_fence = 0;  ///< The highest ever used for a range.
   std::vector<key_range> ranges;
 
   /// Returns the range of `key`, or nullptr in an empty map.
@@ -69,27 +71,28 @@
 /// than `last_fence`.
 status CheckKeyMap(const key_map& map);
 
-/// Writes a map as the text that is kept in the store, and reads it back.
+/// Formats a map as the JSON text that the store keeps, and parses that text.
 std::string FormatKeyMap(const key_map& map);
 result<key_map> ParseKeyMap(std::string_view text);
 
-/// Reads ranges that need not cover all keys: the changes to a map.
+/// Parses the changes to a map: ranges that need not cover all keys.
 result<key_map> ParseKeyChanges(std::string_view text);
 
 /// Returns the ranges of `after` that `before` does not have.
 key_map KeyChanges(const key_map& before, const key_map& after);
-/// Returns `before` with `changes` in place of what they cover. Fails if the
-/// outcome is no whole map: the changes were to another one.
+/// Returns `before` with the keys covered by `changes` replaced. Fails if the
+/// result is not a complete map because the changes are based on another map.
 result<key_map> WithKeyChanges(const key_map& before, const key_map& changes);
 
-/// Joins neighbours that differ in nothing but their bounds.
+/// Merges adjacent ranges that differ only in their bounds.
 void JoinEqualNeighbours(key_map& map);
 
-/// Cuts the range that contains `at` so that one begins there.
+/// Splits the range that contains `at` so that a range begins at `at`.
 void CutBefore(key_map& map, key_point at);
 
-/// Cuts the map so that ranges begin at `first` and end at `last`, and returns
-/// those between. Valid until the map's ranges change.
+/// Splits ranges so that one begins at `first` and one ends at `last`, and
+/// returns those from `first` to `last`. The span is valid until the ranges of
+/// the map change.
 std::span<key_range> CutOut(key_map& map, key_point first, key_point last);
 
 }  // namespace foxtailspread
--- a/src/core/key_load.cc
+++ b/src/core/key_load.cc
@@ -6,17 +6,19 @@
 namespace foxtailspread {
 namespace {
 
-/// How often counts are averaged: as often as hosts report them.
-constexpr duration kAverageEvery{std::chrono::milliseconds{250}};
+/// Time between two updates of the averages: the period at which hosts report
+/// their counts.
+constexpr duration kAveragePeriod{std::chrono::milliseconds{250}};
 
-/// Neighbouring keys that are looked at together for a jump: a single key has
-/// too few requests in a quarter of a second to tell one from chance.
-constexpr size_t kBlockKeys = 512;
-/// A block has jumped if its count is this many standard deviations, and this
-/// many requests besides, above what was expected. By chance that comes once in
-/// many thousands of counts.
+/// Number of neighbouring keys that are checked together for a jump in load: a
+/// single key has too few requests in a quarter of a second to tell a jump from
+/// random variation.
+constexpr size_t kKeysPerBlock = 512;
+/// The load of a block has jumped if its count exceeds the expected one by more
+/// than this many standard deviations plus this many requests. Random variation
+/// alone causes that once in many thousands of counts.
 constexpr double kJumpDeviations = 3.0;
-constexpr double kJumpLeast = 4.0;
+constexpr double kMinJumpRequests = 4.0;
 
 }  // namespace
 
@@ -29,47 +31,51 @@
 
 double key_load::ExpectedOf(size_t block, double seconds) const {
   double rate = 0.0;
-  for (size_t key = block * kBlockKeys; key < (block + 1) * kBlockKeys; ++key) {
+  for (size_t key = block * kKeysPerBlock; key < (block + 1) * kKeysPerBlock;
+       ++key) {
     rate += recent_[key];
   }
   return rate * seconds;
 }
 
 bool key_load::HasJumped(size_t block, double seconds) const {
-  double seen = 0.0;
-  for (size_t key = block * kBlockKeys; key < (block + 1) * kBlockKeys; ++key) {
-    seen += counts_[key];
+  double counted = 0.0;
+  for (size_t key = block * kKeysPerBlock; key < (block + 1) * kKeysPerBlock;
+       ++key) {
+    counted += counts_[key];
   }
   const double expected = ExpectedOf(block, seconds);
-  return seen > expected + kJumpDeviations * std::sqrt(expected) + kJumpLeast;
+  return counted >
+         expected + kJumpDeviations * std::sqrt(expected) + kMinJumpRequests;
 }
 
 bool key_load::Average(time_point now) {
   if (counted_from_ == time_point{}) {
     counted_from_ = now;
   }
-  const duration passed = now - counted_from_;
-  if (passed < kAverageEvery) {
+  const duration elapsed = now - counted_from_;
+  if (elapsed < kAveragePeriod) {
     return false;
   }
   recent_.resize(kKeys, 0.0);
   steady_.resize(kKeys, 0.0);
   counts_.resize(kKeys, 0);
-  const double seconds = std::chrono::duration<double>(passed).count();
-  const auto weight = [&](duration time) {
-    return 1.0 - std::exp(-std::chrono::duration<double>(passed) /
-                          std::chrono::duration<double>(time));
+  const double seconds = std::chrono::duration<double>(elapsed).count();
+  const auto update_weight = [&](duration time_constant) {
+    return 1.0 - std::exp(-std::chrono::duration<double>(elapsed) /
+                          std::chrono::duration<double>(time_constant));
   };
-  const double quick = weight(kRecentTime);
-  const double slow = weight(kSteadyTime);
-  for (size_t block = 0; block < kKeys / kBlockKeys; ++block) {
-    // What such a block had before says nothing of what it has now.
-    const double newest = HasJumped(block, seconds) ? 1.0 : quick;
-    for (size_t key = block * kBlockKeys; key < (block + 1) * kBlockKeys;
+  const double recent_weight = update_weight(kRecentTime);
+  const double steady_weight = update_weight(kSteadyTime);
+  for (size_t block = 0; block < kKeys / kKeysPerBlock; ++block) {
+    // After a jump the earlier rates of a block say nothing about the present
+    // ones, so the new rates replace them.
+    const double block_weight = HasJumped(block, seconds) ? 1.0 : recent_weight;
+    for (size_t key = block * kKeysPerBlock; key < (block + 1) * kKeysPerBlock;
          ++key) {
       const double rate = counts_[key] / seconds;
-      recent_[key] += newest * (rate - recent_[key]);
-      steady_[key] += slow * (rate - steady_[key]);
+      recent_[key] += block_weight * (rate - recent_[key]);
+      steady_[key] += steady_weight * (rate - steady_[key]);
       counts_[key] = 0;
     }
   }
--- a/src/core/key_map.cc
+++ b/src/core/key_map.cc
@@ -11,12 +11,12 @@
 
 using json = nlohmann::json;
 
-error Invalid(std::string reason) {
+error InvalidMapError(std::string reason) {
   return error{error_code::kOutOfRange, "ranges", std::move(reason),
-               "remove the object; it is written anew"};
+               "delete the stored object; it will be recreated"};
 }
 
-json LifeJson(const target_life& life) {
+json LifeToJson(const target_life& life) {
   return {{"id", life.id}, {"started", life.started}};
 }
 
@@ -34,19 +34,19 @@
   reader.Read("granted", out.granted);
   reader.ReadObject(
       "former", [&](object_reader& r) { ReadLife(r, out.former.emplace()); });
-  // Written by earlier releases; the wait that it asked for follows from the
-  // holder's own orders now.
-  bool confirmed = true;
-  reader.Read("former_confirmed", confirmed);
+  // Written by earlier releases and ignored: whether to wait for the previous
+  // owner is now derived from the orders that the lease holder itself sent.
+  bool ignored = true;
+  reader.Read("former_confirmed", ignored);
 }
 
 }  // namespace
 
 const key_range* key_map::Find(key_point key) const {
-  const auto after = std::partition_point(
+  const auto found = std::partition_point(
       ranges.begin(), ranges.end(),
       [&](const key_range& range) { return range.last < key; });
-  return after == ranges.end() ? nullptr : &*after;
+  return found == ranges.end() ? nullptr : &*found;
 }
 
 key_range* key_map::Find(key_point key) {
@@ -54,18 +54,19 @@
 }
 
 status CheckKeyMap(const key_map& map) {
-  uint32_t expected = 0;
+  uint32_t expected_first = 0;
   for (const key_range& range : map.ranges) {
-    if (range.first != expected || range.last < range.first) {
-      return Invalid("the ranges do not cover all keys once, in order");
+    if (range.first != expected_first || range.last < range.first) {
+      return InvalidMapError(
+          "key ranges overlap, leave a gap or are out of order");
     }
     if (range.fence > map.last_fence) {
-      return Invalid("a range has a fence above the last one given");
+      return InvalidMapError("a range has a fence above last_fence");
     }
-    expected = uint32_t{range.last} + 1;
+    expected_first = uint32_t{range.last} + 1;
   }
-  if (expected != uint32_t{kLastKey} + 1) {
-    return Invalid("the last keys have no range");
+  if (expected_first != uint32_t{kLastKey} + 1) {
+    return InvalidMapError("the last key ranges are missing");
   }
   return OkStatus();
 }
@@ -73,15 +74,15 @@
 std::string FormatKeyMap(const key_map& map) {
   json ranges = json::array();
   for (const key_range& range : map.ranges) {
-    json one = {{"first", range.first},
-                {"last", range.last},
-                {"fence", range.fence},
-                {"granted", range.granted},
-                {"owner", LifeJson(range.owner)}};
+    json entry = {{"first", range.first},
+                  {"last", range.last},
+                  {"fence", range.fence},
+                  {"granted", range.granted},
+                  {"owner", LifeToJson(range.owner)}};
     if (range.former) {
-      one["former"] = LifeJson(*range.former);
+      entry["former"] = LifeToJson(*range.former);
     }
-    ranges.push_back(std::move(one));
+    ranges.push_back(std::move(entry));
   }
   return json{{"last_fence", map.last_fence}, {"ranges", std::move(ranges)}}
       .dump();
@@ -96,11 +97,11 @@
   object_reader reader(value.value());
   reader.Require({"last_fence", "ranges"});
   reader.Read("last_fence", map.last_fence);
-  reader.ReadList("ranges", [&](object_reader& each) {
-    ReadRange(each, map.ranges.emplace_back());
+  reader.ReadList("ranges", [&](object_reader& range_reader) {
+    ReadRange(range_reader, map.ranges.emplace_back());
   });
-  if (const status read = reader.Finish(); !read) {
-    return read.error();
+  if (const status finished = reader.Finish(); !finished) {
+    return finished.error();
   }
   return map;
 }
@@ -110,8 +111,8 @@
   if (!map) {
     return map.error();
   }
-  if (const status good = CheckKeyMap(map.value()); !good) {
-    return good.error();
+  if (const status checked = CheckKeyMap(map.value()); !checked) {
+    return checked.error();
   }
   return map;
 }
@@ -119,8 +120,8 @@
 key_map KeyChanges(const key_map& before, const key_map& after) {
   key_map changes{.last_fence = after.last_fence, .ranges = {}};
   for (const key_range& range : after.ranges) {
-    const key_range* same = before.Find(range.first);
-    if (same == nullptr || !(*same == range)) {
+    const key_range* old_range = before.Find(range.first);
+    if (old_range == nullptr || !(*old_range == range)) {
       changes.ranges.push_back(range);
     }
   }
@@ -140,28 +141,28 @@
     after.ranges.push_back(change);
   }
   after.ranges.insert(after.ranges.end(), kept, before.ranges.end());
-  if (const status good = CheckKeyMap(after); !good) {
-    return good.error();
+  if (const status checked = CheckKeyMap(after); !checked) {
+    return checked.error();
   }
   return after;
 }
 
 void JoinEqualNeighbours(key_map& map) {
-  std::vector<key_range> joined;
+  std::vector<key_range> merged;
   for (key_range& range : map.ranges) {
-    if (!joined.empty()) {
-      key_range& before = joined.back();
-      const bool same =
-          before.owner == range.owner && before.fence == range.fence &&
-          before.granted == range.granted && before.former == range.former;
-      if (same) {
-        before.last = range.last;
+    if (!merged.empty()) {
+      key_range& previous = merged.back();
+      const bool is_equal =
+          previous.owner == range.owner && previous.fence == range.fence &&
+          previous.granted == range.granted && previous.former == range.former;
+      if (is_equal) {
+        previous.last = range.last;
         continue;
       }
     }
-    joined.push_back(std::move(range));
+    merged.push_back(std::move(range));
   }
-  map.ranges = std::move(joined);
+  map.ranges = std::move(merged);
 }
 
 void CutBefore(key_map& map, key_point at) {
@@ -182,13 +183,13 @@
   if (last != kLastKey) {
     CutBefore(map, static_cast<key_point>(last + 1));
   }
-  const auto from = std::partition_point(
+  const auto begin = std::partition_point(
       map.ranges.begin(), map.ranges.end(),
       [&](const key_range& range) { return range.first < first; });
-  const auto to = std::partition_point(
-      from, map.ranges.end(),
+  const auto end = std::partition_point(
+      begin, map.ranges.end(),
       [&](const key_range& range) { return range.last <= last; });
-  return {from, to};
+  return {begin, end};
 }
 
 }  // namespace foxtailspread
--- a/tests/key_map_test.cc
+++ b/tests/key_map_test.cc
@@ -1,4 +1,4 @@
-// Records of who owns which keys, and how hosts take changes to them.
+// Tests changes to key maps and how hosts apply them.
 
 #include "foxtailspread/key_map.h"
 
@@ -15,8 +15,8 @@
 
 class KeyMapTest : public ::testing::Test {
  protected:
-  /// A map of `count` ranges of equal size, each with an owner of its own.
-  static key_map Even(int count) {
+  /// Returns a map of `count` ranges of equal size with different owners.
+  static key_map MakeEvenMap(int count) {
     key_map map{.last_fence = static_cast<fence_number>(count), .ranges = {}};
     const int size = (int{kLastKey} + 1) / count;
     for (int i = 0; i < count; ++i) {
@@ -30,60 +30,62 @@
     return map;
   }
 
-  /// Gives the keys from `first` to `last` to another owner.
-  static void Move(key_map& map, key_point first, key_point last) {
+  /// Assigns the keys from `first` to `last` to another owner.
+  static void AssignToNewOwner(key_map& map, key_point first, key_point last) {
     ++map.last_fence;
-    for (key_range& each : CutOut(map, first, last)) {
-      each.owner = {.id = "new", .started = 2};
-      each.fence = map.last_fence;
+    for (key_range& range : CutOut(map, first, last)) {
+      range.owner = {.id = "new", .started = 2};
+      range.fence = map.last_fence;
     }
     JoinEqualNeighbours(map);
   }
 
-  static key_map Applied(const key_map& before, const key_map& after) {
+  /// Formats and parses the changes from `before` to `after`, and applies them
+  /// to `before`.
+  static key_map SendChanges(const key_map& before, const key_map& after) {
     const std::string sent = FormatKeyMap(KeyChanges(before, after));
-    const auto read = ParseKeyChanges(sent);
-    EXPECT_TRUE(read);
-    auto made = WithKeyChanges(before, read.value());
-    EXPECT_TRUE(made);
-    return made ? std::move(made.value()) : key_map{};
+    const auto parsed = ParseKeyChanges(sent);
+    EXPECT_TRUE(parsed);
+    auto applied = WithKeyChanges(before, parsed.value());
+    EXPECT_TRUE(applied);
+    return applied ? std::move(applied.value()) : key_map{};
   }
 };
 
-TEST_F(KeyMapTest, ChangesAppliedToTheFormerMapGiveTheNewOne) {
-  const key_map before = Even(8);
-  key_map cut = before;
-  Move(cut, 100, 9000);
-  EXPECT_EQ(Applied(before, cut), cut);
-  key_map joined = cut;
-  Move(joined, 0, 30000);
-  EXPECT_EQ(Applied(cut, joined), joined);
-  EXPECT_EQ(Applied(joined, before), before);
-  EXPECT_EQ(Applied({}, before), before);
+TEST_F(KeyMapTest, ChangesAppliedToTheOldMapGiveTheNewOne) {
+  const key_map before = MakeEvenMap(8);
+  key_map split = before;
+  AssignToNewOwner(split, 100, 9000);
+  EXPECT_EQ(SendChanges(before, split), split);
+  key_map merged = split;
+  AssignToNewOwner(merged, 0, 30000);
+  EXPECT_EQ(SendChanges(split, merged), merged);
+  EXPECT_EQ(SendChanges(merged, before), before);
+  EXPECT_EQ(SendChanges({}, before), before);
 }
 
-TEST_F(KeyMapTest, MapThatDidNotChangeHasNoChanges) {
-  const key_map map = Even(8);
+TEST_F(KeyMapTest, UnchangedMapHasNoChanges) {
+  const key_map map = MakeEvenMap(8);
   EXPECT_TRUE(KeyChanges(map, map).ranges.empty());
-  EXPECT_EQ(Applied(map, map), map);
+  EXPECT_EQ(SendChanges(map, map), map);
 }
 
-// With two hundred ranges and a hundred hosts, whole records of each change
-// filled the links of small hosts for a second; beats came late and hosts took
-// the lease from each other.
-TEST_F(KeyMapTest, OneMoveAmongManyRangesIsAFewHundredBytes) {
-  const key_map before = Even(256);
+// With two hundred ranges and a hundred hosts, sending the whole map for each
+// change saturated the links of small hosts for a second. Heartbeats were late,
+// and hosts took the lease from each other.
+TEST_F(KeyMapTest, OneMoveAmongManyRangesTakesAFewHundredBytes) {
+  const key_map before = MakeEvenMap(256);
   key_map after = before;
-  Move(after, 1000, 1100);
+  AssignToNewOwner(after, 1000, 1100);
   EXPECT_LT(FormatKeyMap(KeyChanges(before, after)).size(), 600U);
   EXPECT_GT(FormatKeyMap(after).size(), 20000U);
 }
 
-TEST_F(KeyMapTest, ChangesToAnotherMapAreRefused) {
-  key_map changes = Even(8);
+TEST_F(KeyMapTest, ChangesToAnotherMapAreRejected) {
+  key_map changes = MakeEvenMap(8);
   changes.ranges.resize(1);
   changes.ranges[0].last = 12000;
-  EXPECT_FALSE(WithKeyChanges(Even(8), changes));
+  EXPECT_FALSE(WithKeyChanges(MakeEvenMap(8), changes));
 }
 
 class OwnersRecordTest : public KeyMapTest {
@@ -93,41 +95,41 @@
     ASSERT_TRUE(assigner_.OnOwners({.service = "s",
                                     .base = 0,
                                     .revision = 10,
-                                    .content = FormatKeyMap(first_)}));
-    Move(second_, 100, 9000);
+                                    .content = FormatKeyMap(old_map_)}));
+    AssignToNewOwner(new_map_, 100, 9000);
   }
 
-  status Take(uint64_t base, uint64_t revision) {
+  status ReceiveChanges(uint64_t base, uint64_t revision) {
     return assigner_.OnOwners(
         {.service = "s",
          .base = base,
          .revision = revision,
-         .content = FormatKeyMap(KeyChanges(first_, second_))});
+         .content = FormatKeyMap(KeyChanges(old_map_, new_map_))});
   }
 
   key_assigner assigner_{{.host = "h", .zone = "z", .address = "1:2"}};
-  key_map first_ = Even(8);
-  key_map second_ = Even(8);
+  key_map old_map_ = MakeEvenMap(8);
+  key_map new_map_ = MakeEvenMap(8);
 };
 
-TEST_F(OwnersRecordTest, ChangesToThisHostsMapAreTaken) {
-  ASSERT_TRUE(Take(10, 11));
-  EXPECT_EQ(*assigner_.MapOf("s"), second_);
+TEST_F(OwnersRecordTest, ChangesToThisHostsRevisionAreApplied) {
+  ASSERT_TRUE(ReceiveChanges(10, 11));
+  EXPECT_EQ(*assigner_.MapOf("s"), new_map_);
   EXPECT_EQ(assigner_.MapRevision("s"), 11U);
 }
 
-// The datagram before was lost. Changes put on an older map would send requests
-// to former owners.
-TEST_F(OwnersRecordTest, ChangesToAMapThatThisHostHasNotAreLeftAside) {
-  ASSERT_TRUE(Take(11, 12));
-  EXPECT_EQ(*assigner_.MapOf("s"), first_);
+// The previous datagram was lost. Changes applied to an older map would send
+// requests to previous owners.
+TEST_F(OwnersRecordTest, ChangesToAnotherRevisionAreIgnored) {
+  ASSERT_TRUE(ReceiveChanges(11, 12));
+  EXPECT_EQ(*assigner_.MapOf("s"), old_map_);
   EXPECT_EQ(assigner_.MapRevision("s"), 10U);
 }
 
-TEST_F(OwnersRecordTest, RecordThatCannotBeReadIsRefused) {
+TEST_F(OwnersRecordTest, MalformedRecordIsRejected) {
   EXPECT_FALSE(assigner_.OnOwners(
       {.service = "s", .base = 10, .revision = 11, .content = "{}"}));
-  EXPECT_EQ(*assigner_.MapOf("s"), first_);
+  EXPECT_EQ(*assigner_.MapOf("s"), old_map_);
 }
 
 }  // namespace
