--- a/include/foxtailspread/targets_sharing.h
+++ b/include/foxtailspread/targets_sharing.h
@@ -2,7 +2,8 @@
 #define FOXTAILSPREAD_TARGETS_SHARING_H_
 
 /// @file
-/// Spares hosts a new list of the targets when a few of them changed.
+/// Finds the few targets that changed, so that other hosts can be sent these
+/// instead of listing all targets again.
 
 #include <cstdint>
 #include <map>
@@ -15,39 +16,41 @@
 
 namespace foxtailspread {
 
-/// Remembers what hosts go by of one host's copy of the targets' list, and
-/// tells what changed.
+/// Compares one host's copy of the list of targets with the state at the last
+/// call and returns what changed.
 ///
 /// @code
-/// for (auto& each : sharing.Update(copy.objects())) SendToAll(each);
+/// for (auto& record : sharing.Update(copy.objects())) SendToAll(record);
 /// @endcode
 class targets_sharing {
  public:
   using target_objects = kind_follower<target_entry>::object_map;
 
-  /// Returns what changed since the last call, as far as hosts go by it, as
-  /// records to be taken one after the other; none if nothing did, or if it is
-  /// too much to be sent.
+  /// Returns what changed since the last call, as records to be applied in
+  /// order. Changes that do not alter the digest of an entry are left out:
+  /// hosts do not act on them. Returns none if nothing changed or if there are
+  /// too many changes to send.
   std::vector<targets_record> Update(const target_objects& objects);
 
-  /// Digest of the list at the last call.
+  /// Returns the digest of the list at the last call to Update().
   uint64_t digest() const { return digest_; }
 
  private:
   struct known_entry {
     uint64_t revision = 0;
-    uint64_t digest = 0;  ///< 0 for an entry that cannot be read.
+    uint64_t digest = 0;  ///< 0 for an entry that cannot be parsed.
   };
 
   std::map<std::string, known_entry> known_;
   uint64_t digest_ = 0;
 };
 
-/// Returns the entries of objects that can be read.
+/// Returns the entries of the objects that could be parsed.
 std::vector<target_entry> ReadableEntries(
     const targets_sharing::target_objects& objects);
 
-/// Returns a record's changes as a copy of the list takes them.
+/// Converts the changes of a record to the form in which a copy of the list
+/// applies them.
 std::vector<store_change<target_entry>> ChangesOf(targets_record record);
 
 }  // namespace foxtailspread
--- a/src/core/targets_sharing.cc
+++ b/src/core/targets_sharing.cc
@@ -5,54 +5,61 @@
 namespace foxtailspread {
 namespace {
 
-/// Entries in one datagram, some 120 bytes each.
-constexpr size_t kMostEntries = 40;
+/// Maximum entries in one datagram, about 120 bytes each.
+constexpr size_t kMaxEntriesPerRecord = 40;
 
-/// Datagrams to each host for one update. More would fill the sender's link and
-/// delay its heartbeats; a list is cheaper then.
-constexpr size_t kMostRecords = 6;
+/// Maximum datagrams to each host for one update. More would saturate the
+/// sender's link and delay its heartbeats; then it is cheaper if each host
+/// lists all targets again.
+constexpr size_t kMaxRecordsPerUpdate = 6;
 
 }  // namespace
 
 std::vector<targets_record> targets_sharing::Update(
     const target_objects& objects) {
   std::vector<targets_record> records;
-  uint64_t digest = digest_;  // Of the list with the changes so far.
-  const auto add = [&](shared_entry change, uint64_t before, uint64_t after) {
-    if (records.empty() || records.back().changes.size() >= kMostEntries) {
+  uint64_t digest = digest_;  // Of the list with the changes added so far.
+  const auto add_change = [&](shared_entry change, uint64_t old_digest,
+                              uint64_t new_digest) {
+    if (records.empty() ||
+        records.back().changes.size() >= kMaxEntriesPerRecord) {
       records.push_back({.before = digest, .changes = {}});
     }
     records.back().changes.push_back(std::move(change));
-    digest += after - before;
+    digest += new_digest - old_digest;
   };
-  std::map<std::string, known_entry> known;
+  std::map<std::string, known_entry> new_entries;
   for (const auto& [name, object] : objects) {
-    // The digest of a list is the sum of its entries'.
-    const uint64_t now = object.item ? DigestOf({&*object.item, 1}) : 0;
-    known.emplace_hint(known.end(), name, known_entry{object.revision, now});
+    // The digest of a list is the sum of the digests of its entries.
+    const uint64_t entry_digest =
+        object.item ? DigestOf({&*object.item, 1}) : 0;
+    new_entries.emplace_hint(new_entries.end(), name,
+                             known_entry{object.revision, entry_digest});
     const auto found = known_.find(name);
-    if (found == known_.end() || found->second.digest != now) {
-      add({.name = name,
-           .revision = object.revision,
-           .deleted = false,
-           .entry = object.item},
-          found == known_.end() ? 0 : found->second.digest, now);
+    if (found == known_.end() || found->second.digest != entry_digest) {
+      add_change({.name = name,
+                  .revision = object.revision,
+                  .deleted = false,
+                  .entry = object.item},
+                 found == known_.end() ? 0 : found->second.digest,
+                 entry_digest);
     }
   }
   for (const auto& [name, entry] : known_) {
-    if (!known.contains(name)) {
-      // A later revision than any that a copy can have of this entry, so that
-      // it goes, and an older one than if it was created again.
-      add({.name = name,
-           .revision = entry.revision + 1,
-           .deleted = true,
-           .entry = std::nullopt},
-          entry.digest, 0);
+    if (!new_entries.contains(name)) {
+      // The revision is higher than any that a copy can have of this entry, so
+      // that the copy deletes it, and lower than that of an entry created again
+      // under the same name.
+      add_change({.name = name,
+                  .revision = entry.revision + 1,
+                  .deleted = true,
+                  .entry = std::nullopt},
+                 entry.digest, 0);
     }
   }
-  known_ = std::move(known);
+  known_ = std::move(new_entries);
   digest_ = digest;
-  if (records.size() > kMostRecords) {
+  if (records.size() > kMaxRecordsPerUpdate) {
     records.clear();
   }
   return records;
@@ -72,11 +79,11 @@
 
 std::vector<store_change<target_entry>> ChangesOf(targets_record record) {
   std::vector<store_change<target_entry>> changes;
-  for (shared_entry& each : record.changes) {
-    changes.push_back({.object = {.name = std::move(each.name),
-                                  .revision = each.revision,
-                                  .item = std::move(each.entry)},
-                       .deleted = each.deleted});
+  for (shared_entry& change : record.changes) {
+    changes.push_back({.object = {.name = std::move(change.name),
+                                  .revision = change.revision,
+                                  .item = std::move(change.entry)},
+                       .deleted = change.deleted});
   }
   return changes;
 }
