--- a/include/foxtailspread/key_assigner.h
+++ b/include/foxtailspread/key_assigner.h
@@ -2,14 +2,14 @@
 #define FOXTAILSPREAD_KEY_ASSIGNER_H_
 
 /// @file
-/// Gives the keys of keyed services to targets. One host at a time does it;
-/// the others stand by.
+/// Assigns the keys of keyed services to targets. One host at a time, the
+/// lease holder, makes the assignments; the other hosts are on standby.
 ///
-/// The host that does it holds a lease, an object of the store that it writes
-/// again and again. Others take the lease over when the object has stood still
-/// for longer than its holder may act on it. Who owns which keys is recorded
-/// in the store before any target is told, so that a new holder knows every
-/// grant that may ever have been sent.
+/// The lease is an object in the store that its holder rewrites periodically.
+/// Another host takes the lease over when the object has not changed for
+/// longer than the lease term. The owner of each key is recorded in the store
+/// before any grant is sent to a target, so that a new holder knows every
+/// grant that a former holder may have sent.
 
 #include <cstdint>
 #include <map>
@@ -33,40 +33,42 @@
 
 namespace foxtailspread {
 
-/// How long a host whose lease has lapsed goes on renewing what it granted,
-/// while it cannot reach the store: keys stay served through an outage of the
-/// store, when nobody can take over. Longer outages than twice the users'
-/// worst lose keys; a successor waits so much longer for targets that it
-/// cannot reach.
+/// How long a host whose lease has lapsed keeps renewing its grants while it
+/// cannot reach the store. Keys stay available during a store outage, when no
+/// host can take the lease. The value is twice the longest outage that the
+/// users have seen; in a longer one keys lose their owners. A larger value
+/// makes a new holder wait longer before it reassigns the keys of targets that
+/// it cannot reach.
 inline constexpr duration kKeepAfterLapse{std::chrono::seconds{10}};
 
-/// How long after the start of its last successful write the lease's holder
-/// moves keys. Two renewals may fail in between.
+/// How long the lease is valid, measured by its holder from the start of its
+/// last successful write. Two consecutive renewals may fail within a term.
 inline constexpr duration kLeaseTerm{std::chrono::milliseconds{5000}};
 
-/// How long a host that leaves may keep what it granted while the store does
-/// not take its release; its process has ended by then.
+/// How long a stopping host may keep renewing its grants while the store has
+/// not confirmed that the lease was released. Its process has ended by then.
 inline constexpr duration kLeaveTime{std::chrono::seconds{6}};
 
-/// A host that held the lease before and may still renew what it granted.
+/// A host that held the lease before and may still renew its grants.
 struct former_holder {
   std::string host;
-  /// How much longer it may, from the write of the record that says so. A
-  /// successor goes on with that wait: begun anew by each, it kept keys of a
-  /// lost target without an owner for as long as holders changed.
+  /// How much longer it may renew them, counted from the write of the record
+  /// that contains this value. Each new holder continues this countdown. If
+  /// each restarted it, the keys of a lost target would have no owner for as
+  /// long as the lease kept changing hands.
   duration may_renew{};
 
   bool operator==(const former_holder&) const = default;
 };
 
-/// The lease, as the store keeps it.
+/// The lease as stored.
 struct assigner_lease {
-  std::string host;       ///< Who holds it.
-  std::string address;    ///< Where it takes load reports, "IP:port".
-  uint64_t renewal = 0;   ///< Counts its writes, so that each one changes it.
-  bool released = false;  ///< Given up; anyone may take it at once.
-  size_t hosts = 1;       ///< Hosts that report to it.
-  /// Former holders that are not known to have stopped renewing grants.
+  std::string host;      ///< The holder.
+  std::string address;   ///< Where the holder receives load reports, "IP:port".
+  uint64_t renewal = 0;  ///< Number of writes; makes each write a change.
+  bool released = false;  ///< Given up by its holder; free to take at once.
+  size_t hosts = 1;       ///< Number of hosts that report to the holder.
+  /// Former holders that may still be renewing their grants.
   std::vector<former_holder> predecessors{};
 
   bool operator==(const assigner_lease&) const = default;
@@ -75,30 +77,31 @@
 std::string FormatLease(const assigner_lease& lease);
 result<assigner_lease> ParseLease(std::string_view text);
 
-/// Writes an object of the system's own kind under a condition.
+/// Requests a conditional write of a system object to the store.
 struct store_write {
   uint64_t id = 0;
   std::string name{};
   std::string content{};
-  uint64_t expected_revision = 0;  ///< 0: there must be no such object.
+  uint64_t expected_revision = 0;  ///< 0: the object must not exist.
 };
 
-/// How a conditional write ended.
+/// The outcome of a conditional write.
 enum class write_end {
   kWritten,
-  kConflict,  ///< Another revision stands there, with the content given.
-  kRefused,   ///< The store did nothing.
-  kUnknown,   ///< No answer: it may have taken effect, or may yet.
+  kConflict,  ///< The object has another revision; the report has its content.
+  kRefused,   ///< The store rejected the write without effect.
+  kUnknown,   ///< No answer: the write may have taken effect or still may.
 };
 
 struct write_report {
   uint64_t id = 0;
   write_end end = write_end::kUnknown;
-  uint64_t revision = 0;  ///< With kWritten and kConflict.
-  std::string content{};  ///< With kConflict.
+  uint64_t revision = 0;  ///< Set for kWritten and kConflict.
+  std::string content{};  ///< Set for kConflict.
 };
 
-/// An order to a target: to take keys or to give them up.
+/// An order that tells a target to take keys (grant) or to give them up
+/// (release).
 struct key_order {
   uint64_t id = 0;
   bool grant = true;
@@ -107,29 +110,29 @@
   key_point first = 0;
   key_point last = 0;
   fence_number fence = 0;
-  duration hold{};         ///< Of a grant.
-  std::string handover{};  ///< Of a grant: the former owner's token, if any.
-  /// Send it on a connection with a number up to this one or not at all: then
-  /// it reaches a process that was there when this host's lease was good, and
-  /// that refuses it if the keys were moved since. A process started anew
-  /// remembers no fences. 0 for any connection.
+  duration hold{};         ///< Validity of a grant.
+  std::string handover{};  ///< For a grant: the former owner's token, if any.
+  /// If not 0, the order must be sent on a connection whose number is at most
+  /// this one, or not at all. Such a connection leads to a process that was
+  /// running while this host's lease was valid and that refuses the order if
+  /// the keys were moved since. A restarted process has no record of fences.
   uint64_t newest_connection = 0;
 };
 
-/// How an order ended.
+/// The outcome of an order.
 enum class order_end {
   kDone,
-  kFenced,      ///< The target has seen a higher fence on one of the keys.
-  kRejected,    ///< The target does not accept the order at all.
-  kNoProcess,   ///< Nobody listens at its address.
-  kNotSent,     ///< No connection was made: the target has not seen it.
-  kUnanswered,  ///< No answer: it may have been carried out, or may yet.
+  kFenced,      ///< The target has seen a higher fence for one of the keys.
+  kRejected,    ///< The target does not accept such orders.
+  kNoProcess,   ///< No process listens at the target's address.
+  kNotSent,     ///< No connection was made; the target has not received it.
+  kUnanswered,  ///< No answer: the target may have executed it or still may.
 };
 
-/// The name of an end, in lower case, for the log.
+/// Returns the name of an outcome in lower case, for the log.
 std::string_view ToString(order_end end);
 
-/// Gives an order up: its connection is closed without sending what is left.
+/// Cancels an order: its connection is closed and unsent data is discarded.
 struct order_cancel {
   uint64_t id = 0;
 };
@@ -137,11 +140,11 @@
 struct order_report {
   uint64_t id = 0;
   order_end end = order_end::kUnanswered;
-  std::string handover{};   ///< Of a release.
-  uint64_t connection = 0;  ///< That brought the answer.
+  std::string handover{};   ///< For a release: the target's token, if any.
+  uint64_t connection = 0;  ///< Number of the connection that was answered on.
 };
 
-/// What an operator wants to know of a decision, for the log.
+/// A decision or event for the operator's log.
 struct assigner_note {
   enum class kind {
     kLeaseTaken,
@@ -159,23 +162,24 @@
   key_point first = 0;
   key_point last = 0;
   fence_number fence = 0;
-  /// Why or how, in words that are stable; empty if there is nothing to say.
+  /// The reason or further detail, possibly empty. The wording is stable, so
+  /// that tools can match it.
   std::string detail{};
 };
 
-/// Sends a sign of life to the other hosts.
+/// Sends a heartbeat to the other hosts.
 struct heartbeat_action {
   assigner_heartbeat heartbeat{};
   std::vector<fanout_hop> hops{};
 };
 
-/// Tells all other hosts of a record that was written.
+/// Sends an owners record that was written to the store to all other hosts.
 struct share_action {
   owners_record record{};
   std::vector<fanout_hop> hops{};
 };
 
-/// Tells a successor which hosts there are.
+/// Sends the list of known hosts to a successor.
 struct hosts_action {
   std::string address{};
   hosts_record record{};
@@ -186,21 +190,24 @@
                  share_action, hosts_action, assigner_note>;
 using assigner_actions = std::vector<assigner_action>;
 
-/// What an assigner goes by.
+/// Settings of a key_assigner.
 struct assigner_settings {
   std::string host;
   std::string zone;
-  std::string address;  ///< Where this host takes load reports.
-  /// Targets remember the fence of a release also for keys that they do not
-  /// hold, and refuse a lower grant that is carried out after it. Without that
-  /// keys wait until every grant that may still be carried out has run out.
+  std::string address;  ///< Where this host receives load reports.
+  /// Whether targets record the fence of a release even for keys that they do
+  /// not hold, and refuse grants with a lower fence that arrive later. If they
+  /// do not, released keys stay without an owner until every grant that may
+  /// still be executed has expired.
   bool targets_keep_release_fences = false;
   duration hold{std::chrono::seconds{3}};  ///< Validity of a grant.
-  double link_mbps = 1000.0;               ///< What this host's link carries.
-  uint64_t seed = 1;  ///< Spreads the hosts' attempts to take the lease.
+  double link_mbps = 1000.0;               ///< Bandwidth of this host's link.
+  uint64_t seed = 1;  ///< Staggers the hosts' attempts to take the lease.
 };
 
-/// One host's part in giving keys to targets.
+/// Takes part in the election of the lease holder and, while this host holds
+/// the lease, assigns keys to targets. It does no I/O: it appends the actions
+/// for the caller to execute to `out`.
 ///
 /// @code
 /// assigner.OnTargets(targets, false, now);
@@ -212,67 +219,71 @@
 
   explicit key_assigner(assigner_settings settings);
 
-  /// Takes the system's own objects as the store has them. Fails, once for
-  /// each revision, if one of them cannot be read; the others are taken.
+  /// Updates the state from the system objects in the store. Fails, once for
+  /// each revision, if an object cannot be parsed; the others are still used.
   status OnObjects(const own_objects& objects, time_point now);
-  /// Takes whether the store answers this host.
+  /// Sets whether the store is reachable from this host.
   void OnStoreAnswers(bool answers, time_point now);
 
-  /// Takes the services of the declarations.
+  /// Sets the declared services.
   void OnServices(const std::vector<service_settings>& services);
 
-  /// Takes the targets of all services. `doubtful` as in request_router.
+  /// Sets the targets of all services. `may_be_incomplete` is true shortly
+  /// after a store outage, when missing targets may reappear within seconds.
   void OnTargets(const std::vector<target_entry>& targets, bool doubtful,
                  time_point now);
 
-  /// Takes the availability zones that are evacuated: keys leave their targets.
+  /// Sets the evacuated availability zones. Keys are moved away from targets
+  /// in these zones.
   void OnEvacuations(const std::set<std::string>& zones, time_point now);
 
-  /// Take other hosts' messages in.
+  /// Process messages from other hosts.
   void OnReport(const load_report& report, time_point now);
   void OnHeartbeat(const assigner_heartbeat& heartbeat, time_point now);
   void OnHosts(hosts_record record, time_point now);
-  /// Fails if the record cannot be read or does not fit; one to another map
-  /// than this host has is left aside.
+  /// Fails if the record cannot be parsed or its changes do not fit the map. A
+  /// record that is based on another revision than this host has is ignored.
   status OnOwners(const owners_record& record);
-  /// Lets the next heartbeat go out at once: there is news to tell.
+  /// Makes the next heartbeat due at once, because its content has changed.
   void HeartbeatSoon() { heartbeat_at_ = {}; }
 
   void OnWriteEnded(const write_report& report, time_point now,
                     assigner_actions& out);
   void OnOrderEnded(const order_report& report, time_point now,
                     assigner_actions& out);
-  /// Does what is due; call at NextDue() or earlier.
+  /// Performs all actions that are due. Must be called no later than
+  /// NextDue().
   void OnTime(time_point now, assigner_actions& out);
   time_point NextDue(time_point now) const;
 
-  /// Sets where this host takes datagrams, once it listens.
+  /// Sets the address at which this host receives datagrams, once it listens.
   void SetAddress(std::string address) {
     settings_.address = std::move(address);
   }
 
-  /// Gives the lease up, before this host stops. `BusyLeaving()` tells whether
-  /// the store has yet to confirm it.
+  /// Releases the lease before this host stops. IsReleasingLease() is true
+  /// until the store has confirmed the release.
   void Leave(time_point now, assigner_actions& out);
   bool BusyLeaving() const { return leaving_ && lease_write_.has_value(); }
 
   bool IsHolder(time_point now) const { return now < held_until_; }
-  /// How many hosts there are, as far as is known; at least 1.
+  /// Returns the number of known hosts, at least 1.
   size_t HostCount() const;
-  /// How a datagram reaches the other hosts that report to this one.
+  /// Returns the first receivers of a datagram that is to reach all hosts that
+  /// report to this one, each with the hosts that it forwards to.
   std::vector<fanout_hop> OtherHosts(time_point now) const;
   const std::optional<assigner_lease>& lease() const { return lease_; }
   uint64_t lease_revision() const { return lease_revision_; }
-  /// The recorded map of a service, nullptr if there is none.
+  /// Returns the recorded map of a service, nullptr if there is none.
   const key_map* MapOf(const std::string& service) const;
-  /// The revision of that map's record, 0 if there is none.
+  /// Returns the revision of that map's record, 0 if there is none.
   uint64_t MapRevision(const std::string& service) const;
 
-  /// A digest of who holds the lease and of the records of all maps, the same
-  /// on every host that has read the same.
+  /// Returns a digest of the lease holder and of the map revisions of all
+  /// services. Hosts that have read the same records get the same digest.
   uint64_t OwnersDigest() const;
 
-  /// The names of the system's own objects.
+  /// Names of the system objects in the store.
   static constexpr std::string_view kLeaseName = "assigner";
   static std::string MapName(std::string_view service);
 
@@ -287,24 +298,24 @@
     time_point retry_at{};
   };
 
-  /// How far the change of hands of one range has come. Known to the holder
-  /// alone: a new one begins again with the release.
+  /// Progress of the transfer of one range to its new owner. It is kept in
+  /// memory by the lease holder; a new holder starts again with the release.
   struct transfer {
-    bool let_go = false;   ///< The former owner cannot hold the keys.
-    bool offered = false;  ///< A grant was sent to the new owner by this host.
-    bool confirmed = false;  ///< The new owner took them.
+    bool let_go = false;     ///< The former owner can no longer hold the keys.
+    bool offered = false;    ///< This host has sent a grant to the new owner.
+    bool confirmed = false;  ///< The new owner has accepted the grant.
     bool fenced = false;     ///< The new owner has seen a higher fence.
-    /// Begun by a former holder of the lease, which may have sent the grant.
+    /// Started by a former lease holder, which may have sent the grant.
     bool inherited = true;
     /// The former owner has answered the release.
     bool released = false;
     std::string handover;
-    uint64_t order = 0;  ///< Under way, or 0.
+    uint64_t order = 0;  ///< The pending order, or 0.
     time_point retry_at{};
   };
 
   struct renewal {
-    uint64_t order = 0;
+    uint64_t order = 0;  ///< The pending order, or 0.
     time_point due{};
   };
 
@@ -312,11 +323,11 @@
 
   struct keyed_service {
     std::string name;
-    key_map map;            ///< As recorded.
+    key_map map;            ///< As recorded in the store.
     uint64_t revision = 0;  ///< Of the record; 0 if there is none.
     std::optional<pending_write> write;
-    key_map draft;    ///< What `write` records.
-    key_map changes;  ///< What of it differs from the record before.
+    key_map draft;    ///< The map that `record_write` writes.
+    key_map changes;  ///< The differences of `pending_map` from `map`.
     std::map<range_id, transfer> transfers;
     std::map<range_id, renewal> renewals;
     key_load load;
@@ -330,17 +341,19 @@
     bool listed = false;
     time_point first_listed{};
     std::optional<time_point> missing_since;
-    int failed_orders = 0;  ///< Since the last answered one.
+    int failed_orders = 0;  ///< Failed orders since the last answered one.
     time_point failing_since{};
-    uint64_t failed_sequence = 0;  ///< Its report when it began to fail.
-    int orders = 0;                ///< Under way.
-    double latency_us = 0.0;       ///< Running mean over all hosts' requests.
-    /// It may hold keys until then, by the grants of this host that ended.
+    /// The sequence number of its entry when its orders began to fail.
+    uint64_t failed_sequence = 0;
+    int orders = 0;           ///< Grants without an outcome yet.
+    double latency_us = 0.0;  ///< Running mean over all hosts' requests.
+    /// Upper bound for the expiry of this host's grants that have an outcome.
     time_point held_until{};
-    /// The same, by those of them that it did not answer.
+    /// The same for the grants that were not answered.
     time_point unanswered_until{};
     target_availability availability;
-    time_point answered_at{};  ///< An order of this host, as holder.
+    /// When it last answered an order that this host sent as lease holder.
+    time_point answered_at{};
   };
 
   struct order_context {
@@ -350,7 +363,9 @@
     std::string target;
     bool grant = true;
     bool renews = false;
-    bool hands_over = false;  ///< A release by the former owner itself.
+    /// A release that was sent to the former owner itself rather than to a
+    /// later process of the same target.
+    bool hands_over = false;
     time_point deadline{};
   };
 
@@ -359,29 +374,32 @@
   static std::string LifeKey(const target_life& life);
   target_state* StateOf(const target_life& life);
   bool IsUsable(const target_life& life, time_point now) const;
-  /// The listed process that started later under the same id, nullptr if there
-  /// is none: the one before has ended.
+  /// Returns the listed process that started later under the same id, nullptr
+  /// if there is none. If there is one, the process `life` has ended.
   const target_state* LaterLife(const target_life& life) const;
-  /// Whether that process has certainly ended.
+  /// Returns whether it is proven that the process has ended.
   bool IsKnownDead(const target_life& life) const;
-  /// Whether another target has been listed at its address since it was last.
+  /// Returns whether the target is no longer listed and another one was first
+  /// listed later at the same address.
   bool IsAddressReused(const target_life& life) const;
-  /// How long after its arrival a grant may hold, by the target's clock.
+  /// Returns an upper bound for the time, by this host's clock, that a grant
+  /// is valid after its arrival, given the error of the target's clock.
   duration LongestHold() const;
-  /// When the last grant of a former holder of the lease has run out.
+  /// Returns when all grants of former lease holders have expired.
   time_point InheritedUntil() const;
+  /// Returns when all grants to the target have expired.
   time_point HeldUntil(const target_life& life) const;
-  /// Why the former owner of `range` cannot hold its keys any more, empty while
-  /// it may.
+  /// Returns the reason why the former owner of `range` can no longer hold its
+  /// keys; empty if it may still hold them.
   std::string_view WhyFree(const key_range& range, const transfer& state,
                            time_point now) const;
-  /// Whether a release that the former owner answered proves that it does not
-  /// hold the keys and will not.
+  /// Returns whether an answered release proves that the former owner does not
+  /// hold the keys and that no grant in transit can give them back to it.
   bool IsReleaseProof(const target_life& former, time_point now) const;
-  /// Whether a grant of keys of `range` to `life` is under way.
+  /// Returns whether a grant of keys in `range` to `life` has no outcome yet.
   bool IsGrantUnderWay(const target_life& life, const key_range& range) const;
-  /// The lives of owners that have not answered an order since this host took
-  /// the lease. This host may be cut off from them.
+  /// Returns the owners that have not answered an order since this host took
+  /// the lease, by LifeKey(). A network partition may separate them from it.
   std::set<std::string> SilentOwners(const std::string& service) const;
   std::vector<balance_target> Candidates(const std::string& service,
                                          time_point now) const;
@@ -449,26 +467,30 @@
   bool store_answers_ = false;
   std::optional<assigner_lease> lease_;
   uint64_t lease_revision_ = 0;
-  time_point lease_seen_at_{};  ///< Its last write.
-  time_point
-      lease_read_at_{};  ///< When `lease_` was read; heartbeats tell less.
-  time_point lease_taken_at_{};  ///< Its last change of holder.
+  /// When the holder's last write or heartbeat was noticed. Never before the
+  /// end of the last store outage.
+  time_point lease_seen_at_{};
+  /// When `lease_` was read. Heartbeats do not carry the whole lease.
+  time_point lease_read_at_{};
+  time_point lease_taken_at_{};  ///< When the lease last changed hands.
   bool objects_read_ = false;
   std::optional<time_point> able_since_;
   std::optional<pending_write> lease_write_;
   time_point held_until_{};
   time_point renew_at_{};
   time_point keeping_until_{};
-  uint64_t newest_connection_ = 0;  ///< That answered an order under the lease.
+  /// The highest number of a connection on which an order was answered while
+  /// this host held the lease.
+  uint64_t newest_connection_ = 0;
   time_point taken_at_{};
   uint64_t acting_from_revision_ = 0;
   bool synced_since_taken_ = false;
   bool was_holder_ = false;
   bool leaving_ = false;
   std::map<std::string, keyed_service> services_;
-  std::set<std::string> service_names_;  ///< Keyed and others.
+  std::set<std::string> service_names_;  ///< All, including those not keyed.
   std::set<std::string> evacuated_zones_;
-  std::map<std::string, target_state> targets_;  ///< By life.
+  std::map<std::string, target_state> targets_;  ///< By LifeKey().
   struct host_state {
     std::string zone;
     std::string address;
@@ -477,15 +499,17 @@
     time_point seen{};
   };
   std::map<std::string, host_state> hosts_seen_;
-  hosts_record hosts_told_;  ///< By the holder, for the case that it is lost.
+  /// The hosts that the holder knows, sent to successors so that they can take
+  /// over from it.
+  hosts_record hosts_told_;
   time_point hosts_told_at_{};
   time_point share_hosts_at_{};
   std::vector<std::string> successors_;
   time_point heartbeat_at_{};
   std::optional<assigner_heartbeat> heartbeat_heard_;
   time_point heartbeat_heard_at_{};
-  /// Hosts that held the lease before and may still renew what they granted,
-  /// with the time at which each stops or is known to have stopped.
+  /// Hosts that held the lease before, with the time from which each no longer
+  /// renews its grants.
   std::map<std::string, time_point> predecessors_;
   std::map<uint64_t, order_context> orders_;
   uint64_t last_id_ = 0;
--- a/src/core/assigner_lease.cc
+++ b/src/core/assigner_lease.cc
@@ -7,7 +7,8 @@
 #include "foxtailspread/json_reader.h"
 #include "foxtailspread/key_assigner.h"
 
-// How the lease of the one host that gives keys is taken, kept and lost.
+// Takes, renews and releases the lease of the host that assigns keys, and
+// handles its loss.
 
 namespace foxtailspread {
 namespace {
@@ -15,67 +16,75 @@
 using std::chrono::ceil;
 using std::chrono::milliseconds;
 
-/// How often the holder writes the lease. Each write wakes the watch of every
-/// host, so it is seldom; successors go by datagrams.
-constexpr duration kRenewEvery{std::chrono::milliseconds{2000}};
-
-/// How long the object must have stood still, by another host's clock, before
-/// a host that is no successor takes the lease. Longer than the term by far
-/// more than clocks differ in that time, and by an answer's way back.
-constexpr duration kTakeoverAfter{std::chrono::milliseconds{6500}};
-
-/// How often the holder tells its successors that it lives, how many there
-/// are, and how long the first waits in silence before it takes the lease; each
-/// further one waits so much longer. Three heartbeats may be lost. Grants last
-/// three seconds and are renewed each 0.8, so that a successor that starts
-/// within a second and a half finds them all in force.
-constexpr duration kHeartbeatEvery{std::chrono::milliseconds{250}};
-constexpr size_t kSuccessors = 3;
-constexpr duration kSilence{std::chrono::milliseconds{850}};
-constexpr duration kSilenceStep{std::chrono::milliseconds{250}};
-
-/// The hosts' attempts to take a free lease are spread over this time, so that
-/// all but one see it taken and make no call.
-constexpr duration kTakeoverSpread{std::chrono::milliseconds{400}};
-
-/// A host with a smaller link than this leaves a free lease to the others for
-/// so much longer. The holder tells all hosts of each change; what is lost on a
-/// full link is made up for by reads of the store and by requests to owners
-/// that no longer are.
-constexpr double kWideLinkMbps = 50.0;
-constexpr duration kNarrowLinkDelay{std::chrono::milliseconds{800}};
-
-/// A write without an answer is sent again after this time, under the same
-/// condition and with the same content: if the first one took effect the
-/// second is told so, and if it is still on its way it finds the condition
-/// broken.
-constexpr duration kWriteRetry{std::chrono::milliseconds{250}};
-
-/// Hosts that reported within this time count as there.
-constexpr duration kHostSeenFor{std::chrono::seconds{4}};
-
-/// The longest time that a former holder can go on, if nothing tells when it
-/// stopped.
-constexpr duration kLongestMayRenew = kLeaseTerm + kKeepAfterLapse;
-
-/// Only hosts heard of within this time are chosen as successors.
-constexpr duration kSuccessorSeenFor{std::chrono::milliseconds{2500}};
-
-/// Only hosts heard of within this time pass datagrams on: two of their reports
-/// may be lost.
-constexpr duration kRelaySeenFor{std::chrono::milliseconds{800}};
-
-/// How often successors are told which hosts there are, and for how long they
-/// go by that.
-constexpr duration kShareHostsEvery{std::chrono::seconds{1}};
-constexpr duration kHostsToldFor{std::chrono::seconds{5}};
-
-/// The former holders and how much longer each may renew grants, for the log.
-std::string Describe(std::span<const former_holder> former) {
+/// Time between the holder's writes of the lease. Each write wakes the store
+/// watch of every host, so that writes are rare; successors detect a lost
+/// holder by its heartbeats, which are datagrams.
+constexpr duration kLeaseRenewalPeriod{std::chrono::milliseconds{2000}};
+
+/// How long the lease must have been unchanged, by its own clock, before a host
+/// that is not a successor takes it. This exceeds the lease term by much more
+/// than the drift between two clocks in that time plus the transit time of an
+/// answer from the store.
+constexpr duration kTakeoverTimeout{std::chrono::milliseconds{6500}};
+
+/// The holder sends a heartbeat each kHeartbeatPeriod and names up to
+/// kMaxSuccessors successors in it. The first successor takes the lease
+/// kHeartbeatTimeout after the last heartbeat that it received, which tolerates
+/// the loss of three; each further one waits kSuccessorStagger longer than the
+/// one before. Grants are valid for three seconds and are renewed every 0.8
+/// seconds, so that all are still valid when a successor starts within 1.5
+/// seconds.
+constexpr duration kHeartbeatPeriod{std::chrono::milliseconds{250}};
+constexpr size_t kMaxSuccessors = 3;
+constexpr duration kHeartbeatTimeout{std::chrono::milliseconds{850}};
+constexpr duration kSuccessorStagger{std::chrono::milliseconds{250}};
+
+/// Upper bound of the delay by which hosts stagger their attempts to take a
+/// free lease, so that all but the first see that it was taken and send no
+/// request to the store.
+constexpr duration kMaxTakeoverStagger{std::chrono::milliseconds{400}};
+
+/// A host whose link has less than this bandwidth waits for an additional delay
+/// before it takes a free lease, because the holder sends each change to all
+/// hosts. Each change that is lost on a full link costs reads of the store and
+/// requests that are sent to former owners.
+constexpr double kMinHolderLinkMbps = 50.0;
+constexpr duration kNarrowLinkTakeoverDelay{std::chrono::milliseconds{800}};
+
+/// Delay before a write without an answer is sent again, with the same expected
+/// revision and content. If the first write has taken effect, the second one
+/// gets a conflict whose content shows that. If the first one is still in
+/// transit, it fails because the revision has changed.
+constexpr duration kWriteRetryDelay{std::chrono::milliseconds{250}};
+
+/// Hosts that have not reported for this time are no longer counted.
+constexpr duration kHostTimeout{std::chrono::seconds{4}};
+
+/// The longest time that a former holder can keep renewing its grants, used if
+/// it is not known when it stopped.
+constexpr duration kMaxRenewalTime = kLeaseTerm + kKeepAfterLapse;
+
+/// Only hosts that have reported within this time are chosen as successors.
+constexpr duration kSuccessorTimeout{std::chrono::milliseconds{2500}};
+
+/// Only hosts that have reported within this time are used as relays of
+/// datagrams. It tolerates the loss of two reports.
+constexpr duration kRelayTimeout{std::chrono::milliseconds{800}};
+
+/// Time between sending the list of hosts to the successors, and the time after
+/// which a received list is out of date.
+constexpr duration kHostsSharePeriod{std::chrono::seconds{1}};
+constexpr duration kSharedHostsTtl{std::chrono::seconds{5}};
+
+/// Formats the former holders and how much longer each may renew its grants,
+/// for the log.
+std::string DescribeFormerHolders(
+    std::span<const former_holder> former_holders) {
   std::string text;
-  for (const former_holder& each : former) {
-    text += (text.empty() ? "" : ", ") + each.host + " " +
-            std::to_string(ceil<milliseconds>(each.may_renew).count()) + " ms";
+  for (const former_holder& former : former_holders) {
+    text += (text.empty() ? "" : ", ") + former.host + " " +
+            std::to_string(ceil<milliseconds>(former.may_renew).count()) +
+            " ms";
   }
   return text;
 }
@@ -84,10 +93,10 @@
 
 std::string FormatLease(const assigner_lease& lease) {
   nlohmann::json predecessors = nlohmann::json::array();
-  for (const former_holder& each : lease.predecessors) {
+  for (const former_holder& former : lease.predecessors) {
     predecessors.push_back(
-        {{"host", each.host},
-         {"may_renew_ms", ceil<milliseconds>(each.may_renew).count()}});
+        {{"host", former.host},
+         {"may_renew_ms", ceil<milliseconds>(former.may_renew).count()}});
   }
   return nlohmann::json{
       {"host", lease.host},       {"address", lease.address},
@@ -109,12 +118,12 @@
   reader.Read("renewal", lease.renewal);
   reader.Read("released", lease.released);
   reader.Read("hosts", lease.hosts);
-  reader.ReadList("predecessors", [&](object_reader& each) {
+  reader.ReadList("predecessors", [&](object_reader& item) {
     former_holder& former = lease.predecessors.emplace_back();
-    each.Require({"host", "may_renew_ms"});
-    each.Read("host", former.host);
-    each.ReadMilliseconds("may_renew_ms", former.may_renew,
-                          {duration{0}, kLongestMayRenew});
+    item.Require({"host", "may_renew_ms"});
+    item.Read("host", former.host);
+    item.ReadMilliseconds("may_renew_ms", former.may_renew,
+                          {duration{0}, kMaxRenewalTime});
   });
   if (const status read = reader.Finish(); !read) {
     return read.error();
@@ -123,51 +132,54 @@
 }
 
 duration key_assigner::TakeoverDelay() const {
-  const duration spread = kTakeoverSpread * (settings_.seed % 64) / 64;
-  const bool narrow = settings_.link_mbps < kWideLinkMbps;
-  return spread + (narrow ? kNarrowLinkDelay : duration{0});
+  const duration stagger = kMaxTakeoverStagger * (settings_.seed % 64) / 64;
+  const bool narrow_link = settings_.link_mbps < kMinHolderLinkMbps;
+  return stagger + (narrow_link ? kNarrowLinkTakeoverDelay : duration{0});
 }
 
 bool key_assigner::MayTake(time_point now) const {
   if (!able_since_) {
     return false;
   }
-  const duration spread = TakeoverDelay();
+  const duration delay = TakeoverDelay();
   if (!lease_) {
-    return now >= *able_since_ + spread;
+    return now >= *able_since_ + delay;
   }
   if (lease_->host == settings_.host && !lease_->released) {
-    // Its own, lapsed while the store was away, or of its life before.
+    // The lease is this host's own. It lapsed during a store outage or was held
+    // by a previous process on this host.
     return true;
   }
   if (lease_->released) {
-    return now >= lease_seen_at_ + spread / 4;
+    return now >= lease_seen_at_ + delay / 4;
   }
   if (MayFollow(now)) {
     return true;
   }
-  return now >= lease_seen_at_ + kTakeoverAfter + spread;
+  return now >= lease_seen_at_ + kTakeoverTimeout + delay;
 }
 
 bool key_assigner::MayFollow(time_point now) const {
   if (!heartbeat_heard_ || heartbeat_heard_->host != lease_->host) {
     return false;
   }
-  const auto& order = heartbeat_heard_->successors;
-  const auto place = std::find(order.begin(), order.end(), settings_.host);
-  // A holder that has just taken the lease is given time for its first
-  // heartbeats; otherwise hosts that each remember old heartbeats of the others
-  // take it from one another again and again.
+  const auto& successors = heartbeat_heard_->successors;
+  const auto own_position =
+      std::find(successors.begin(), successors.end(), settings_.host);
+  // A host that has just taken the lease gets time to send its first
+  // heartbeats. Otherwise hosts that remember old heartbeats of each other
+  // would repeatedly take the lease from one another.
   const time_point silent_since =
       std::max(heartbeat_heard_at_, lease_taken_at_);
-  return place != order.end() &&
-         now >= silent_since + kSilence +
-                    kSilenceStep * std::distance(order.begin(), place);
+  return own_position != successors.end() &&
+         now >= silent_since + kHeartbeatTimeout +
+                    kSuccessorStagger *
+                        std::distance(successors.begin(), own_position);
 }
 
 void key_assigner::OnHeartbeat(const assigner_heartbeat& heartbeat,
                                time_point now) {
-  // A host that has been replaced may still heartbeat until it learns of it.
+  // A former holder may send heartbeats until it learns that it was replaced.
   if (heartbeat.lease_revision < lease_revision_ && lease_ &&
       lease_->host != heartbeat.host) {
     return;
@@ -175,8 +187,8 @@
   heartbeat_heard_ = heartbeat;
   heartbeat_heard_at_ = now;
   if (lease_ && lease_->host == heartbeat.host) {
-    // The holder's renewals are not read while its heartbeats come; without its
-    // revision a takeover would fail at the first try.
+    // Renewals of the lease are not read while heartbeats arrive. Without the
+    // revision from the heartbeat, the first attempt at a takeover would fail.
     lease_seen_at_ = now;
     lease_revision_ = std::max(lease_revision_, heartbeat.lease_revision);
   }
@@ -191,17 +203,19 @@
                           : recorded;
 }
 
-/// Mixes what one host saw into the running mean, by its number of requests.
+/// Adds the latency that one host measured to the running mean, weighted by its
+/// number of requests.
 void key_assigner::AddLatency(target_state& target,
-                              const target_latency& seen) {
-  // The mean covers about so many requests: some seconds of a busy target.
-  constexpr double kSpan = 40.0;
-  const double weight = std::min(1.0, seen.served / kSpan);
-  const double latency = seen.latency_us;
+                              const target_latency& sample) {
+  // The number of requests that the mean covers, which is a few seconds' worth
+  // for a busy target.
+  constexpr double kAveragedRequests = 40.0;
+  const double weight = std::min(1.0, sample.served / kAveragedRequests);
+  const double latency_us = sample.latency_us;
   target.latency_us =
       target.latency_us == 0.0
-          ? latency
-          : target.latency_us + weight * (latency - target.latency_us);
+          ? latency_us
+          : target.latency_us + weight * (latency_us - target.latency_us);
 }
 
 void key_assigner::OnReport(const load_report& report, time_point now) {
@@ -210,17 +224,17 @@
                               .lease_revision = report.lease_revision,
                               .link_mbps = report.link_mbps,
                               .seen = now};
-  // Whoever has read this host's lease grants nothing any more. The same goes
-  // for a new process on the former holder's host.
+  // A former holder that has read this host's lease renews no more grants. The
+  // same holds for a new process on the former holder's host.
   const auto former = predecessors_.find(report.host);
   if (was_holder_ && former != predecessors_.end() &&
       report.lease_revision >= acting_from_revision_) {
     former->second = std::min(former->second, now);
   }
-  for (const target_latency& each : report.targets) {
+  for (const target_latency& sample : report.targets) {
     for (auto& [life, target] : targets_) {
-      if (target.listed && target.entry.life.id == each.target) {
-        AddLatency(target, each);
+      if (target.listed && target.entry.life.id == sample.target) {
+        AddLatency(target, sample);
       }
     }
   }
@@ -235,13 +249,14 @@
   }
 }
 
-/// The other hosts that were heard of lately and may follow, those with the
-/// widest links first. Narrow ones are among them only if there is no other.
+/// Returns the other hosts that have reported recently, by decreasing bandwidth
+/// of their links. Hosts with narrow links are included only if no host has a
+/// wide one.
 std::vector<std::string> key_assigner::SuccessorCandidates(
     time_point now) const {
   std::vector<std::string> names;
   for (const auto& [name, host] : hosts_seen_) {
-    if (name != settings_.host && now - host.seen <= kSuccessorSeenFor) {
+    if (name != settings_.host && now - host.seen <= kSuccessorTimeout) {
       names.push_back(name);
     }
   }
@@ -250,11 +265,11 @@
                      return hosts_seen_.at(a).link_mbps >
                             hosts_seen_.at(b).link_mbps;
                    });
-  const auto is_wide = [&](const std::string& name) {
-    return hosts_seen_.at(name).link_mbps >= kWideLinkMbps;
+  const auto has_wide_link = [&](const std::string& name) {
+    return hosts_seen_.at(name).link_mbps >= kMinHolderLinkMbps;
   };
-  if (!names.empty() && is_wide(names.front())) {
-    names.erase(std::partition_point(names.begin(), names.end(), is_wide),
+  if (!names.empty() && has_wide_link(names.front())) {
+    names.erase(std::partition_point(names.begin(), names.end(), has_wide_link),
                 names.end());
   }
   return names;
@@ -262,8 +277,9 @@
 
 void key_assigner::ChooseSuccessors(time_point now) {
   const std::vector<std::string> candidates = SuccessorCandidates(now);
-  // Those chosen stay while they report, unless the first to report had narrow
-  // links and one with a wide link is there now.
+  // Successors stay chosen while they are candidates. Those with narrow links,
+  // chosen when no other host had reported, are dropped when a host with a wide
+  // link reports.
   std::erase_if(successors_, [&](const std::string& name) {
     return std::find(candidates.begin(), candidates.end(), name) ==
            candidates.end();
@@ -272,13 +288,13 @@
   for (const std::string& name : successors_) {
     zones.insert(hosts_seen_[name].zone);
   }
-  // First one host of each other zone: a zone that is cut off or lost takes no
-  // more than one of them along. Then any.
+  // First chooses one host in each other zone, so that the loss of a zone
+  // removes only one successor, and then fills up with hosts in any zone.
   for (const bool any_zone : {false, true}) {
     for (const std::string& name : candidates) {
       const bool chosen = std::find(successors_.begin(), successors_.end(),
                                     name) != successors_.end();
-      if (successors_.size() >= kSuccessors || chosen ||
+      if (successors_.size() >= kMaxSuccessors || chosen ||
           (!any_zone && !zones.insert(hosts_seen_[name].zone).second)) {
         continue;
       }
@@ -288,12 +304,12 @@
 }
 
 void key_assigner::SendHeartbeat(time_point now, assigner_actions& out) {
-  // Without the store nothing can be moved; a successor that reaches it does
-  // better, so the silence is meant.
+  // Without the store this host can't move keys. It stops its heartbeats so
+  // that a successor that reaches the store takes over.
   if (now < heartbeat_at_ || !store_answers_) {
     return;
   }
-  heartbeat_at_ = now + kHeartbeatEvery;
+  heartbeat_at_ = now + kHeartbeatPeriod;
   ChooseSuccessors(now);
   const assigner_heartbeat heartbeat{.host = settings_.host,
                                      .lease_revision = lease_revision_,
@@ -307,7 +323,7 @@
   if (now < share_hosts_at_ || successors_.empty()) {
     return;
   }
-  share_hosts_at_ = now + kShareHostsEvery;
+  share_hosts_at_ = now + kHostsSharePeriod;
   hosts_record record;
   for (const auto& [name, host] : hosts_seen_) {
     record.hosts.push_back({name, host.zone, host.address, host.link_mbps});
@@ -322,15 +338,15 @@
   hosts_told_at_ = now;
 }
 
-/// Goes by the hosts that the former holder knew, until they report.
+/// Adds the hosts that the former holder knew, until they report themselves.
 void key_assigner::TakeHosts(time_point now) {
-  if (now - hosts_told_at_ > kHostsToldFor) {
+  if (now - hosts_told_at_ > kSharedHostsTtl) {
     return;
   }
-  for (const host_contact& each : hosts_told_.hosts) {
-    hosts_seen_.try_emplace(each.name, host_state{.zone = each.zone,
-                                                  .address = each.address,
-                                                  .link_mbps = each.link_mbps,
+  for (const host_contact& host : hosts_told_.hosts) {
+    hosts_seen_.try_emplace(host.name, host_state{.zone = host.zone,
+                                                  .address = host.address,
+                                                  .link_mbps = host.link_mbps,
                                                   .seen = now});
   }
 }
@@ -342,25 +358,27 @@
     if (name == settings_.host) {
       continue;
     }
-    // A successor whose relay is lost would take the lease from a holder that
-    // lives.
-    const bool succeeds = std::find(successors_.begin(), successors_.end(),
-                                    name) != successors_.end();
+    // Successors get heartbeats directly: one that misses them because its
+    // relay is lost would take the lease from a live holder.
+    const bool is_successor = std::find(successors_.begin(), successors_.end(),
+                                        name) != successors_.end();
     hosts.push_back({.zone = host.zone,
                      .address = host.address,
                      .link_mbps = host.link_mbps,
-                     .may_relay = now - host.seen <= kRelaySeenFor,
-                     .direct = succeeds});
+                     .may_relay = now - host.seen <= kRelayTimeout,
+                     .direct = is_successor});
   }
-  // Changes that follow one another closely take the same way: one that comes
-  // before the one it builds on is left aside.
+  // The route stays the same for a heartbeat period, so that changes sent in
+  // quick succession arrive in order. A change that arrives before the one that
+  // it is based on is ignored.
   const auto turn =
-      static_cast<uint64_t>(now.time_since_epoch() / kHeartbeatEvery);
+      static_cast<uint64_t>(now.time_since_epoch() / kHeartbeatPeriod);
   return PlanFanout(hosts, settings_.zone, turn);
 }
 
-/// Notes since when this host could act on the lease. All hosts learn of the
-/// declarations at once; each counts its own delay from then.
+/// Updates the time since which this host has been able to take the lease. All
+/// hosts receive the declarations at the same time, and each counts its own
+/// takeover delay from then.
 void key_assigner::NoteAble(time_point now) {
   if (!objects_read_ || !store_answers_ || leaving_ || !services_known_) {
     able_since_.reset();
@@ -383,16 +401,16 @@
   }
   if (was_holder_) {
     if (now >= renew_at_) {
-      std::erase_if(hosts_seen_, [&](const auto& seen) {
-        return now - seen.second.seen > kHostSeenFor;
+      std::erase_if(hosts_seen_, [&](const auto& entry) {
+        return now - entry.second.seen > kHostTimeout;
       });
       assigner_lease next = *lease_;
       next.renewal = lease_->renewal + 1;
       next.hosts = std::max<size_t>(hosts_seen_.size(), 1);
       next.predecessors.clear();
-      for (const auto& [name, stops] : predecessors_) {
-        if (now < stops) {
-          next.predecessors.push_back({name, stops - now});
+      for (const auto& [name, stops_at] : predecessors_) {
+        if (now < stops_at) {
+          next.predecessors.push_back({name, stops_at - now});
         }
       }
       WriteLease(next, now, out);
@@ -400,40 +418,42 @@
     return;
   }
   if (MayTake(now)) {
-    assigner_lease mine;
-    mine.host = settings_.host;
-    mine.address = settings_.address;
-    mine.renewal = lease_ ? lease_->renewal + 1 : 1;
-    mine.hosts = lease_ ? lease_->hosts : 1;
-    mine.predecessors = Predecessors(now);
-    WriteLease(mine, now, out);
+    assigner_lease own_lease;
+    own_lease.host = settings_.host;
+    own_lease.address = settings_.address;
+    own_lease.renewal = lease_ ? lease_->renewal + 1 : 1;
+    own_lease.hosts = lease_ ? lease_->hosts : 1;
+    own_lease.predecessors = Predecessors(now);
+    WriteLease(own_lease, now, out);
   }
 }
 
-/// Those that may still renew grants when this host takes the lease now.
+/// Returns the hosts that may still renew their grants if this host takes the
+/// lease now.
 std::vector<former_holder> key_assigner::Predecessors(time_point now) const {
   if (!lease_) {
     return {};
   }
-  // Renewals of the lease are not read while heartbeats come, so that what
-  // stands here is as old as the last change of hands. Passed on as it stood
-  // then, the wait for a lost holder would begin anew with each takeover, and
-  // keys of targets lost with it would have no owner.
-  const duration passed = now - lease_read_at_;
-  std::vector<former_holder> former = lease_->predecessors;
-  for (former_holder& each : former) {
-    each.may_renew -= passed;
-  }
-  std::erase_if(former, [&](const former_holder& each) {
-    return each.host == lease_->host || each.may_renew <= duration{0};
+  // Renewals of the lease are not read while heartbeats arrive, so that the
+  // remaining times in `lease_` may be as old as its last change of hands.
+  // Without subtracting the elapsed time, the wait for a lost holder would
+  // restart with each takeover, and the keys of targets that were lost with it
+  // would have no owner.
+  const duration elapsed = now - lease_read_at_;
+  std::vector<former_holder> former_holders = lease_->predecessors;
+  for (former_holder& former : former_holders) {
+    former.may_renew -= elapsed;
+  }
+  std::erase_if(former_holders, [&](const former_holder& former) {
+    return former.host == lease_->host || former.may_renew <= duration{0};
   });
-  former.push_back(
-      {lease_->host, lease_->released ? kLeaveTime : kLongestMayRenew});
-  // A process of this host that ended renews nothing.
-  std::erase_if(former, [&](const former_holder& each) {
-    return each.host.empty() || each.host == settings_.host;
+  former_holders.push_back(
+      {lease_->host, lease_->released ? kLeaveTime : kMaxRenewalTime});
+  // A previous process on this host has ended and renews nothing.
+  std::erase_if(former_holders, [&](const former_holder& former) {
+    return former.host.empty() || former.host == settings_.host;
   });
-  return former;
+  return former_holders;
 }
 
 void key_assigner::WriteLease(const assigner_lease& next, time_point now,
@@ -449,7 +469,7 @@
                         assigner_actions& out) {
   write.id = ++last_id_;
   write.in_flight = true;
-  write.retry_at = now + kWriteRetry;
+  write.retry_at = now + kWriteRetryDelay;
   out.emplace_back(store_write{.id = write.id,
                                .name = write.name,
                                .content = write.content,
@@ -466,21 +486,22 @@
 void key_assigner::OnLeaseWritten(const write_report& report, time_point now,
                                   assigner_actions& out) {
   lease_write_->in_flight = false;
-  const bool done = report.end == write_end::kWritten ||
-                    (report.end == write_end::kConflict &&
-                     report.content == lease_write_->content);
-  if (!done && report.end != write_end::kConflict) {
-    // Renewing is pointless once others may have taken over; giving up is not
-    // worth a delay of the stop.
-    const bool late = now - lease_write_->first_sent > kLeaseTerm;
-    if (late && !leaving_) {
+  const bool written = report.end == write_end::kWritten ||
+                       (report.end == write_end::kConflict &&
+                        report.content == lease_write_->content);
+  if (!written && report.end != write_end::kConflict) {
+    // A renewal is given up when the lease term has passed, because another
+    // host may have taken the lease. A release is retried until it
+    // succeeds or the process ends.
+    const bool term_passed = now - lease_write_->first_sent > kLeaseTerm;
+    if (term_passed && !leaving_) {
       lease_write_.reset();
     }
     return;
   }
-  const pending_write written = *std::exchange(lease_write_, std::nullopt);
-  const auto parsed =
-      ParseLease(done ? std::string_view{written.content} : report.content);
+  const pending_write completed = *std::exchange(lease_write_, std::nullopt);
+  const auto parsed = ParseLease(written ? std::string_view{completed.content}
+                                         : report.content);
   if (report.revision > lease_revision_ && parsed) {
     if (!lease_ || lease_->host != parsed.value().host) {
       lease_taken_at_ = now;
@@ -490,15 +511,16 @@
     lease_seen_at_ = now;
     lease_read_at_ = now;
   }
-  if (!done && leaving_ && lease_ && lease_->host == settings_.host &&
+  if (!written && leaving_ && lease_ && lease_->host == settings_.host &&
       !lease_->released) {
-    // A renewal that was under way took effect before the release. Given up
-    // here, the lease would stand until its silence is noticed.
+    // A renewal that was in transit took effect before the release. Without
+    // another attempt at the release, no host would take the lease until it or
+    // the heartbeats time out.
     Release(now, out);
     return;
   }
-  if (!done) {
-    // Somebody has written it meanwhile and so is there.
+  if (!written) {
+    // Another host has written the lease meanwhile, so it is alive.
     heartbeat_heard_at_ = std::max(heartbeat_heard_at_, now);
     LoseLease(out);
     return;
@@ -507,8 +529,8 @@
     keeping_until_ = {};
     return;
   }
-  held_until_ = written.first_sent + kLeaseTerm;
-  renew_at_ = written.first_sent + kRenewEvery;
+  held_until_ = completed.first_sent + kLeaseTerm;
+  renew_at_ = completed.first_sent + kLeaseRenewalPeriod;
   if (!was_holder_ && IsHolder(now)) {
     was_holder_ = true;
     keeping_until_ = {};
@@ -516,33 +538,35 @@
     acting_from_revision_ = report.revision;
     synced_since_taken_ = false;
     successors_.clear();
-    // A renewal that was on its way in a cut may be the first that gets
-    // through: orders that failed before tell of this host's links.
+    // After a network partition a lease write that was still in transit may be
+    // the first to succeed. Orders that failed before it may have failed
+    // because of this host's own network.
     ForgetFailedOrders();
     TakeHosts(now);
     predecessors_.clear();
-    for (const former_holder& each : lease_->predecessors) {
-      predecessors_.emplace(each.host, now + each.may_renew);
+    for (const former_holder& former : lease_->predecessors) {
+      predecessors_.emplace(former.host, now + former.may_renew);
     }
-    out.emplace_back(assigner_note{.what = assigner_note::kind::kLeaseTaken,
-                                   .detail = Describe(lease_->predecessors)});
+    out.emplace_back(
+        assigner_note{.what = assigner_note::kind::kLeaseTaken,
+                      .detail = DescribeFormerHolders(lease_->predecessors)});
   }
 }
 
 void key_assigner::Lapse(assigner_actions& out) {
   const bool taken_over = lease_ && lease_->host != settings_.host;
-  const time_point lapsed = held_until_;
-  if (taken_over || lapsed == time_point{}) {
+  const time_point lapsed_at = held_until_;
+  if (taken_over || lapsed_at == time_point{}) {
     LoseLease(out);
     return;
   }
-  // Nobody is known to have taken over. Nothing moves from here on; what was
-  // granted is kept for a while.
+  // As far as is known, no other host has taken the lease. This host moves no
+  // more keys but keeps renewing its grants for a limited time.
   was_holder_ = false;
-  keeping_until_ = lapsed + kKeepAfterLapse;
-  for (auto& [name, each] : services_) {
-    each.transfers.clear();
-    each.write.reset();
+  keeping_until_ = lapsed_at + kKeepAfterLapse;
+  for (auto& [name, service] : services_) {
+    service.transfers.clear();
+    service.write.reset();
   }
   out.emplace_back(assigner_note{.what = assigner_note::kind::kLeaseLost,
                                  .detail = "lapsed, renews what it granted"});
@@ -555,10 +579,10 @@
     return;
   }
   was_holder_ = false;
-  for (auto& [name, each] : services_) {
-    each.transfers.clear();
-    each.renewals.clear();
-    each.write.reset();
+  for (auto& [name, service] : services_) {
+    service.transfers.clear();
+    service.renewals.clear();
+    service.write.reset();
   }
   out.emplace_back(assigner_note{.what = assigner_note::kind::kLeaseLost,
                                  .detail = "taken over"});
@@ -569,14 +593,15 @@
   if (!was_holder_ || !lease_ || !IsHolder(now)) {
     return;
   }
-  // Nothing moves from here on. What was granted is kept until the store has
-  // taken the release: while it is away nobody else can.
+  // This host moves no more keys. It keeps renewing its grants until the store
+  // has confirmed the release, because during a store outage no other host can
+  // take the lease.
   keeping_until_ = now + kLeaveTime;
   was_holder_ = false;
   held_until_ = {};
-  for (auto& [name, each] : services_) {
-    each.transfers.clear();
-    each.write.reset();
+  for (auto& [name, service] : services_) {
+    service.transfers.clear();
+    service.write.reset();
   }
   out.emplace_back(assigner_note{.what = assigner_note::kind::kLeaseLost,
                                  .detail = "leaving"});
@@ -584,10 +609,10 @@
 }
 
 void key_assigner::Release(time_point now, assigner_actions& out) {
-  assigner_lease last = *lease_;
-  last.renewal = lease_->renewal + 1;
-  last.released = true;
-  WriteLease(last, now, out);
+  assigner_lease released_lease = *lease_;
+  released_lease.renewal = lease_->renewal + 1;
+  released_lease.released = true;
+  WriteLease(released_lease, now, out);
 }
 
 }  // namespace foxtailspread
--- a/src/core/key_assigner.cc
+++ b/src/core/key_assigner.cc
@@ -5,30 +5,32 @@
 
 #include "foxtailspread/hash.h"
 
-// What an assigner hears and knows, and the round that it makes.
+// Processes store objects, declarations and target lists, and runs the periodic
+// update of the lease and of the key maps.
 
 namespace foxtailspread {
 namespace {
 
-/// Orders in a row that failed before a target counts as lost and its keys are
-/// given to others, once its hold has ended. One alone may have met a
-/// connection that had ended.
-constexpr int kFailedOrders = 2;
-/// A target that failed orders is given keys again so long after, if it has
-/// reported to the store meanwhile.
-constexpr duration kFailingFor{std::chrono::seconds{2}};
+/// Number of consecutive failed orders after which a target counts as lost. Its
+/// keys are then assigned to other targets once its grants have expired. A
+/// single failure may be due to a connection that was already closed.
+constexpr int kFailedOrderThreshold = 2;
+/// Time after which a target with failed orders may be assigned keys again, if
+/// it has updated its entry in the store since.
+constexpr duration kFailedTargetRetryDelay{std::chrono::seconds{2}};
 
-/// Between a target's id and its start in the name of its life. Lives of one
-/// id are next to each other in order of their names.
+/// Separates a target's id from its start time in LifeKey(). Processes of the
+/// same target are adjacent in the order of these keys.
 constexpr char kLifeSeparator = '@';
 
-/// While the store was away of late a missing target may be back: its entry
-/// lapsed although it lives.
-constexpr duration kMissingGrace{std::chrono::milliseconds{2300}};
+/// How long after a store outage a missing target still counts as present. Its
+/// entry may have expired during the outage although the target is alive.
+constexpr duration kMissingTargetGracePeriod{std::chrono::milliseconds{2300}};
 
-/// The error with the object it was found in at the head of its path.
-error NamedAfter(const std::string& object, error problem) {
-  problem.path = problem.path.empty() ? object : object + "." + problem.path;
+/// Returns the error with the name of the object prepended to its path.
+error PrependObjectName(const std::string& object_name, error problem) {
+  problem.path =
+      problem.path.empty() ? object_name : object_name + "." + problem.path;
   return problem;
 }
 
@@ -66,38 +68,39 @@
   if (found == services_.end() || record.revision <= found->second.revision) {
     return OkStatus();
   }
-  keyed_service& of = found->second;
-  if (record.base != 0 && record.base != of.revision) {
-    return OkStatus();  // The next heartbeat shows that the record must be
-                        // read.
+  keyed_service& service = found->second;
+  if (record.base != 0 && record.base != service.revision) {
+    // Records are missing in between. The digest in the next heartbeat will
+    // differ from this host's, which then reads the record from the store.
+    return OkStatus();
   }
   auto changes = ParseKeyChanges(record.content);
   if (!changes) {
     return changes.error();
   }
-  auto map = WithKeyChanges(of.map, changes.value());
+  auto map = WithKeyChanges(service.map, changes.value());
   if (!map) {
     return map.error();
   }
-  of.map = std::move(map.value());
-  of.revision = record.revision;
+  service.map = std::move(map.value());
+  service.revision = record.revision;
   return OkStatus();
 }
 
 uint64_t key_assigner::OwnersDigest() const {
   uint64_t digest = HashParts({lease_ ? lease_->host : std::string{}}, 0);
-  for (const auto& [name, each] : services_) {
-    // The watch may bring this host's own write before its answer comes. A
-    // heartbeat that told of the record before its changes are sent would make
-    // all other hosts read it whole.
-    digest +=
-        HashParts({name}, each.write ? each.write->expected : each.revision);
+  for (const auto& [name, service] : services_) {
+    // The watch may deliver this host's own write before the answer to it
+    // arrives. If a heartbeat announced the new record before the changes are
+    // sent, all other hosts would read the whole record from the store.
+    digest += HashParts(
+        {name}, service.write ? service.write->expected : service.revision);
   }
   return digest;
 }
 
 status key_assigner::OnObjects(const own_objects& objects, time_point now) {
-  status taken = OkStatus();
+  status parse_status = OkStatus();
   objects_read_ = true;
   const auto lease = objects.find(std::string{kLeaseName});
   if (lease != objects.end() && lease->second.revision > lease_revision_) {
@@ -105,18 +108,18 @@
     lease_revision_ = lease->second.revision;
     lease_seen_at_ = now;
     lease_read_at_ = now;
-    // A lease that cannot be read names no holder; it is taken over when it
-    // has stood still for as long as any other.
+    // A lease that cannot be parsed has no holder. It is taken over like any
+    // other lease that has not been renewed in time.
     if (!parsed) {
-      taken = NamedAfter(lease->first, parsed.error());
+      parse_status = PrependObjectName(lease->first, parsed.error());
     }
-    assigner_lease read = parsed ? parsed.value() : assigner_lease{};
-    if (!lease_ || lease_->host != read.host) {
+    assigner_lease new_lease = parsed ? parsed.value() : assigner_lease{};
+    if (!lease_ || lease_->host != new_lease.host) {
       lease_taken_at_ = now;
     }
-    lease_ = std::move(read);
+    lease_ = std::move(new_lease);
     if (lease_->host != settings_.host) {
-      held_until_ = {};  // StepLease does the rest.
+      held_until_ = {};  // UpdateLease handles the loss.
       keeping_until_ = {};
     }
   }
@@ -125,30 +128,32 @@
       lease->second.revision >= acting_from_revision_) {
     synced_since_taken_ = true;
   }
-  for (auto& [name, each] : services_) {
+  for (auto& [name, service] : services_) {
     const auto found = objects.find(MapName(name));
-    if (found == objects.end() || found->second.revision <= each.revision) {
+    if (found == objects.end() || found->second.revision <= service.revision) {
       continue;
     }
     auto map = ParseKeyMap(found->second.item.value_or(""));
-    each.revision = found->second.revision;
+    service.revision = found->second.revision;
     if (map) {
-      each.map = std::move(map.value());
+      service.map = std::move(map.value());
     } else {
-      taken = NamedAfter(found->first, map.error());
+      parse_status = PrependObjectName(found->first, map.error());
     }
   }
-  return taken;
+  return parse_status;
 }
 
 void key_assigner::OnStoreAnswers(bool answers, time_point now) {
   if (answers && !store_answers_) {
-    // Nothing was seen while the store was away: the lease may have been
-    // renewed all the time.
+    // The lease may have been renewed while this host could not reach the
+    // store.
     lease_seen_at_ = std::max(lease_seen_at_, now);
-    // Orders that failed meanwhile tell of this host's own links, and the list
-    // that would show its targets alive is as old. Taken for lost, all targets
-    // outside a zone that had been cut off gave their keys to the three inside.
+    // Orders that failed meanwhile may have failed because of this host's own
+    // network, and its target list is too old to show which targets are alive.
+    // Otherwise a holder in a zone that was cut off takes all targets outside
+    // the zone for lost and moves their keys to the few inside it (three, in
+    // the case that was seen).
     ForgetFailedOrders();
   }
   store_answers_ = answers;
@@ -162,19 +167,20 @@
 
 void key_assigner::OnServices(const std::vector<service_settings>& services) {
   services_known_ = true;
-  std::set<std::string> keyed;
+  std::set<std::string> keyed_names;
   service_names_.clear();
-  for (const service_settings& each : services) {
-    service_names_.insert(each.name);
-    if (each.keyed) {
-      keyed.insert(each.name);
-      keyed_service& of = services_[each.name];
-      of.name = each.name;
-      of.cold = ColdPolicyOf(each);
+  for (const service_settings& declared : services) {
+    service_names_.insert(declared.name);
+    if (declared.keyed) {
+      keyed_names.insert(declared.name);
+      keyed_service& service = services_[declared.name];
+      service.name = declared.name;
+      service.cold = ColdPolicyOf(declared);
     }
   }
-  std::erase_if(services_,
-                [&](const auto& each) { return !keyed.contains(each.first); });
+  std::erase_if(services_, [&](const auto& entry) {
+    return !keyed_names.contains(entry.first);
+  });
 }
 
 void key_assigner::OnTargets(const std::vector<target_entry>& targets,
@@ -225,13 +231,13 @@
   if (found == targets_.end() || found->second.listed) {
     return false;
   }
-  // An entry for a service that is not declared may come from anybody. One that
-  // was there before may be left over from the target that had the address
-  // first.
-  const target_entry& gone = found->second.entry;
-  return std::any_of(targets_.begin(), targets_.end(), [&](const auto& each) {
-    const target_state& other = each.second;
-    return other.listed && other.entry.address == gone.address &&
+  // Entries of undeclared services are ignored because any process can write
+  // them. Entries that were listed before this target's are ignored because
+  // they may be left over from a previous target at the address.
+  const target_entry& unlisted = found->second.entry;
+  return std::any_of(targets_.begin(), targets_.end(), [&](const auto& entry) {
+    const target_state& other = entry.second;
+    return other.listed && other.entry.address == unlisted.address &&
            other.entry.life.id != life.id &&
            other.first_listed > found->second.first_listed &&
            service_names_.contains(other.entry.service);
@@ -240,42 +246,43 @@
 
 const key_assigner::target_state* key_assigner::LaterLife(
     const target_life& life) const {
-  // Lives of one id are next to each other; this is asked for each range in
-  // each step.
+  // Processes with the same id are adjacent in the map. The search is limited
+  // to them because this runs for each range in each update.
   const std::string prefix = life.id + kLifeSeparator;
-  for (auto each = targets_.lower_bound(prefix);
-       each != targets_.end() && each->first.starts_with(prefix); ++each) {
-    const target_life& other = each->second.entry.life;
-    if (each->second.listed && other.id == life.id &&
+  for (auto it = targets_.lower_bound(prefix);
+       it != targets_.end() && it->first.starts_with(prefix); ++it) {
+    const target_life& other = it->second.entry.life;
+    if (it->second.listed && other.id == life.id &&
         other.started > life.started) {
-      return &each->second;
+      return &it->second;
     }
   }
   return nullptr;
 }
 
 bool key_assigner::IsKnownDead(const target_life& life) const {
-  // A refused connection proves nothing: some partitions answer in the target's
-  // place, and a target behind one goes on serving those on its side. Without
-  // the second proof a target that is lost together with the holder of the
-  // lease leaves its keys without an owner until the holder's time is over, up
-  // to nineteen seconds.
+  // A refused connection proves nothing: in some network partitions another
+  // node refuses connections in the target's place, while the target continues
+  // to serve the hosts on its side. Without the check for address reuse, keys
+  // of a target that is lost together with the lease holder have no owner until
+  // all grants that the holder may have sent have expired, up to 19 seconds.
   return LaterLife(life) != nullptr || IsAddressReused(life);
 }
 
 bool key_assigner::IsFailing(const target_state& state, time_point now) const {
-  if (state.failed_orders < kFailedOrders) {
+  if (state.failed_orders < kFailedOrderThreshold) {
     return false;
   }
-  return now - state.failing_since < kFailingFor ||
+  return now - state.failing_since < kFailedTargetRetryDelay ||
          state.entry.sequence == state.failed_sequence;
 }
 
 bool key_assigner::IsUsable(const target_life& life, time_point now) const {
   const auto found = targets_.find(LifeKey(life));
   if (found == targets_.end()) {
-    // Never seen by this host: it may be listed soon after a start.
-    return doubtful_ && now - taken_at_ < kMissingGrace;
+    // This host has never seen the target, which may be listed shortly after
+    // the lease was taken.
+    return doubtful_ && now - taken_at_ < kMissingTargetGracePeriod;
   }
   const target_state& state = found->second;
   if (state.entry.draining || state.availability.IsEvacuated() ||
@@ -283,121 +290,127 @@
     return false;
   }
   return state.listed ||
-         (doubtful_ && now - *state.missing_since < kMissingGrace);
+         (doubtful_ && now - *state.missing_since < kMissingTargetGracePeriod);
 }
 
 void key_assigner::OnTime(time_point now, assigner_actions& out) {
   StepLease(now, out);
-  // Also of a lease that was lost since: what a target may hold counts from
-  // the ends of all orders, and one that never ends would count for ever.
+  // This includes orders that were sent under a lease that was lost since. The
+  // expiry of a target's grants is known only when all of its orders have an
+  // outcome, and an order that never gets one would block its keys forever.
   EndLateOrders(now, out);
-  const bool holds = was_holder_ && IsHolder(now) && synced_since_taken_;
-  if (!holds && now >= keeping_until_) {
+  const bool may_assign = was_holder_ && IsHolder(now) && synced_since_taken_;
+  if (!may_assign && now >= keeping_until_) {
     return;
   }
-  for (auto& [name, each] : services_) {
-    if (holds) {
-      StepService(each, now, out);
+  for (auto& [name, service] : services_) {
+    if (may_assign) {
+      StepService(service, now, out);
       continue;
     }
-    for (const key_range& range : each.map.ranges) {
+    for (const key_range& range : service.map.ranges) {
       if (range.granted) {
-        Renew(each, range, now, out);
+        Renew(service, range, now, out);
       }
     }
   }
 }
 
 time_point key_assigner::NextDue(time_point now) const {
-  // While it holds the lease it looks at its ranges often enough for moves to
-  // take tens of milliseconds; standing by, it only watches the lease.
-  constexpr duration kBusyStep{std::chrono::milliseconds{50}};
-  constexpr duration kHolderStep{std::chrono::milliseconds{100}};
-  constexpr duration kCalmStep{std::chrono::milliseconds{250}};
-  const bool busy =
+  // The holder updates its ranges often enough for transfers to finish within
+  // tens of milliseconds. A standby host only watches the lease.
+  constexpr duration kTransferUpdatePeriod{std::chrono::milliseconds{50}};
+  constexpr duration kHolderUpdatePeriod{std::chrono::milliseconds{100}};
+  constexpr duration kStandbyUpdatePeriod{std::chrono::milliseconds{250}};
+  const bool transferring =
       was_holder_ &&
-      std::any_of(services_.begin(), services_.end(), [](const auto& each) {
-        return !each.second.transfers.empty() || each.second.write;
+      std::any_of(services_.begin(), services_.end(), [](const auto& entry) {
+        return !entry.second.transfers.empty() || entry.second.write;
       });
-  if (busy) {
-    return now + kBusyStep;
+  if (transferring) {
+    return now + kTransferUpdatePeriod;
   }
-  return now + (was_holder_ ? kHolderStep : kCalmStep);
+  return now + (was_holder_ ? kHolderUpdatePeriod : kStandbyUpdatePeriod);
 }
 
-void key_assigner::StepService(keyed_service& of, time_point now,
+void key_assigner::StepService(keyed_service& service, time_point now,
                                assigner_actions& out) {
   if (!IsHolder(now)) {
     return;
   }
-  of.load.Average(now);
-  RetryWrite(of.write, now, out);
-  std::set<range_id> live;
-  for (const key_range& range : of.map.ranges) {
-    live.insert(IdOf(range));
+  service.load.Average(now);
+  RetryWrite(service.write, now, out);
+  std::set<range_id> current_ranges;
+  for (const key_range& range : service.map.ranges) {
+    current_ranges.insert(IdOf(range));
     if (range.granted) {
-      Renew(of, range, now, out);
-    } else if (!IsBeingReplaced(of, range)) {
-      StepRange(of, range, now, out);
+      Renew(service, range, now, out);
+    } else if (!IsBeingReplaced(service, range)) {
+      StepRange(service, range, now, out);
     }
   }
-  std::erase_if(of.transfers,
-                [&](const auto& each) { return !live.contains(each.first); });
-  std::erase_if(of.renewals,
-                [&](const auto& each) { return !live.contains(each.first); });
-  if (of.write) {
+  std::erase_if(service.transfers, [&](const auto& entry) {
+    return !current_ranges.contains(entry.first);
+  });
+  std::erase_if(service.renewals, [&](const auto& entry) {
+    return !current_ranges.contains(entry.first);
+  });
+  if (service.write) {
     return;
   }
-  key_map draft = of.map;
-  if (PlanChanges(of, draft, now, out)) {
+  key_map draft = service.map;
+  if (PlanChanges(service, draft, now, out)) {
     JoinEqualNeighbours(draft);
-    of.draft = draft;
-    of.changes = KeyChanges(of.map, draft);
-    of.write = pending_write{.name = MapName(of.name),
-                             .content = FormatKeyMap(draft),
-                             .expected = of.revision,
-                             .first_sent = now};
-    Send(*of.write, now, out);
+    service.draft = draft;
+    service.changes = KeyChanges(service.map, draft);
+    service.write = pending_write{.name = MapName(service.name),
+                                  .content = FormatKeyMap(draft),
+                                  .expected = service.revision,
+                                  .first_sent = now};
+    Send(*service.write, now, out);
   }
 }
 
-void key_assigner::OnMapWritten(keyed_service& of, const write_report& report,
-                                time_point now, assigner_actions& out) {
-  of.write->in_flight = false;
-  const bool done = report.end == write_end::kWritten ||
-                    (report.end == write_end::kConflict &&
-                     report.content == of.write->content);
-  if (done && report.revision < of.revision) {
-    // The record of another holder, written on top of this one, came first.
-    of.write.reset();
-    of.transfers.clear();
-  } else if (done) {
-    of.map = std::move(of.draft);
-    of.revision = report.revision;
+void key_assigner::OnMapWritten(keyed_service& service,
+                                const write_report& report, time_point now,
+                                assigner_actions& out) {
+  service.write->in_flight = false;
+  const bool written = report.end == write_end::kWritten ||
+                       (report.end == write_end::kConflict &&
+                        report.content == service.write->content);
+  if (written && report.revision < service.revision) {
+    // This host has already read a later record, which another holder wrote on
+    // top of this one.
+    service.write.reset();
+    service.transfers.clear();
+  } else if (written) {
+    service.map = std::move(service.draft);
+    service.revision = report.revision;
     out.emplace_back(
-        share_action{.record = {.service = of.name,
-                                .base = of.write->expected,
-                                .revision = of.revision,
-                                .content = FormatKeyMap(of.changes)},
+        share_action{.record = {.service = service.name,
+                                .base = service.write->expected,
+                                .revision = service.revision,
+                                .content = FormatKeyMap(service.changes)},
                      .hops = OtherHosts(now)});
-    of.write.reset();
-    for (const key_range& range : of.map.ranges) {
-      const bool added = !of.transfers.contains(IdOf(range));
+    service.write.reset();
+    for (const key_range& range : service.map.ranges) {
+      const bool added = !service.transfers.contains(IdOf(range));
       if (!range.granted && added) {
-        of.transfers[IdOf(range)].inherited = false;
+        service.transfers[IdOf(range)].inherited = false;
       }
     }
-    StepService(of, now, out);
+    StepService(service, now, out);
   } else if (report.end == write_end::kConflict) {
-    // Another holder has written: the lease is lost, or will be found so. A
-    // record that cannot be read comes by the watch too and is reported there.
-    of.write.reset();
+    // Another holder has written the record, so that this host has lost the
+    // lease, even if it has not noticed yet. A record that cannot be parsed is
+    // ignored here: the watch also delivers it, and OnObjects reports it.
+    service.write.reset();
     auto map = ParseKeyMap(report.content);
-    if (report.revision > of.revision && map) {
-      of.map = std::move(map.value());
-      of.revision = report.revision;
+    if (report.revision > service.revision && map) {
+      service.map = std::move(map.value());
+      service.revision = report.revision;
     }
-    of.transfers.clear();
+    service.transfers.clear();
   }
 }
 
@@ -407,9 +420,9 @@
     OnLeaseWritten(report, now, out);
     return;
   }
-  for (auto& [name, each] : services_) {
-    if (each.write && each.write->id == report.id) {
-      OnMapWritten(each, report, now, out);
+  for (auto& [name, service] : services_) {
+    if (service.write && service.write->id == report.id) {
+      OnMapWritten(service, report, now, out);
       return;
     }
   }
--- a/src/core/key_assigner_moves.cc
+++ b/src/core/key_assigner_moves.cc
@@ -3,109 +3,114 @@
 
 #include "foxtailspread/key_assigner.h"
 
-// Which keys change hands: those of lost targets, those that overload their
-// owner, and the first deal.
+// Decides which keys get a new owner: all keys when a service has no map yet,
+// the keys of lost targets, and keys that overload their owner.
 
 namespace foxtailspread {
 namespace {
 
-/// How often moves are planned.
-constexpr duration kBalanceEvery{std::chrono::milliseconds{250}};
-/// How uneven the recent load must be for moves at once.
-constexpr double kHotOverload = 1.7;
-constexpr double kHotUnderload = 0.25;
-/// How uneven the steady load must be. Forty requests of a target, some four
-/// seconds' worth, differ by a sixth by chance alone.
-constexpr double kSteadyOverload = 1.4;
-constexpr double kSteadyUnderload = 0.5;
-/// How often the steady load is evened out.
-constexpr duration kRefineEvery{std::chrono::seconds{2}};
-
-/// The bounds of a target's speed against the others'. A mean latency tells of
-/// its queue as well as of its speed; the bounds keep that from running away.
-constexpr double kSlowest = 0.4;
-constexpr double kFastest = 2.5;
-
-/// How long after the start the first targets are waited for, so that the
-/// first map deals keys to all of them and not to those seen first.
-constexpr duration kFirstDealAfter{std::chrono::milliseconds{1500}};
+/// Time between plans of balancing moves.
+constexpr duration kBalancePeriod{std::chrono::milliseconds{250}};
+/// Multiples of a target's fair share of the recent load. Above the first it
+/// gives keys away, below the second it receives keys. Checked in every plan.
+constexpr double kRecentOverloadRatio = 1.7;
+constexpr double kRecentUnderloadRatio = 0.25;
+/// The same for the steady load, averaged over several seconds. The count of
+/// forty requests, which a target gets in about four seconds, has a random
+/// deviation of one sixth.
+constexpr double kSteadyOverloadRatio = 1.4;
+constexpr double kSteadyUnderloadRatio = 0.5;
+/// Time between moves that balance the steady load.
+constexpr duration kSteadyBalancePeriod{std::chrono::seconds{2}};
+
+/// Bounds of a target's speed relative to the mean of all targets. Speed is
+/// estimated from mean latency, which includes queueing time; the bounds limit
+/// the resulting feedback between load and estimated speed.
+constexpr double kMinSpeedRatio = 0.4;
+constexpr double kMaxSpeedRatio = 2.5;
+
+/// Delay between taking the lease and making the first map of a service, so
+/// that all targets can be listed and share the keys, rather than only those
+/// that were listed first.
+constexpr duration kFirstMapDelay{std::chrono::milliseconds{1500}};
 
 }  // namespace
 
-bool key_assigner::PlanChanges(keyed_service& of, key_map& draft,
+bool key_assigner::PlanChanges(keyed_service& service, key_map& draft,
                                time_point now, assigner_actions& out) {
   if (draft.ranges.empty()) {
-    const auto candidates = Candidates(of.name, now);
-    if (candidates.empty() || now < taken_at_ + kFirstDealAfter) {
+    const auto candidates = Candidates(service.name, now);
+    if (candidates.empty() || now < taken_at_ + kFirstMapDelay) {
       return false;
     }
     draft = DealKeys(candidates, draft.last_fence + 1);
     return true;
   }
-  const bool confirmed = ConfirmGrants(of, draft, out);
-  const bool replaced = ReplaceOwners(of, draft, now, out);
+  const bool confirmed = ConfirmGrants(service, draft, out);
+  const bool replaced = ReplaceOwners(service, draft, now, out);
   if (confirmed || replaced) {
     return true;
   }
-  return Balance(of, draft, now, out);
+  return Balance(service, draft, now, out);
 }
 
-assigner_note key_assigner::NoteOf(assigner_note::kind what,
-                                   const keyed_service& of,
+assigner_note key_assigner::NoteOf(assigner_note::kind note_kind,
+                                   const keyed_service& service,
                                    const key_range& range,
                                    const std::string& target) {
-  return {.what = what,
-          .service = of.name,
+  return {.what = note_kind,
+          .service = service.name,
           .target = target,
           .first = range.first,
           .last = range.last,
           .fence = range.fence};
 }
 
-bool key_assigner::ConfirmGrants(keyed_service& of, key_map& draft,
+bool key_assigner::ConfirmGrants(keyed_service& service, key_map& draft,
                                  assigner_actions& out) {
   bool changed = false;
   for (key_range& range : draft.ranges) {
-    const auto found = of.transfers.find(IdOf(range));
-    if (range.granted || found == of.transfers.end() ||
+    const auto found = service.transfers.find(IdOf(range));
+    if (range.granted || found == service.transfers.end() ||
         !found->second.confirmed) {
       continue;
     }
     range.granted = true;
     range.former.reset();
     changed = true;
-    out.emplace_back(
-        NoteOf(assigner_note::kind::kKeysGranted, of, range, range.owner.id));
+    out.emplace_back(NoteOf(assigner_note::kind::kKeysGranted, service, range,
+                            range.owner.id));
   }
   return changed;
 }
 
-void key_assigner::Reassign(keyed_service& of, key_map& draft, key_range& range,
-                            const target_life& to) {
-  const auto found = of.transfers.find(IdOf(range));
-  const bool offered = range.granted || found == of.transfers.end() ||
+void key_assigner::Reassign(keyed_service& service, key_map& draft,
+                            key_range& range, const target_life& new_owner) {
+  const auto found = service.transfers.find(IdOf(range));
+  const bool offered = range.granted || found == service.transfers.end() ||
                        found->second.offered || found->second.inherited;
   range.former = offered ? std::optional{range.owner} : std::nullopt;
-  range.owner = to;
+  range.owner = new_owner;
   range.granted = false;
-  // Two numbers: one for the release, which must be above what the former
-  // owner has seen, so that a late renewal is refused; one for the grant.
+  // Uses two fence numbers: the lower one for the release, which must be above
+  // all that the former owner has seen so that it refuses late renewals, and
+  // the higher one for the grant.
   draft.last_fence += 2;
   range.fence = draft.last_fence;
 }
 
-bool key_assigner::ReplaceOwners(keyed_service& of, key_map& draft,
+bool key_assigner::ReplaceOwners(keyed_service& service, key_map& draft,
                                  time_point now, assigner_actions& out) {
   bool changed = false;
-  // Worked out when first needed: most rounds replace no owner.
+  // Computed on first use, because most calls replace no owner.
   std::optional<std::vector<balance_target>> usable;
   for (key_range& range : draft.ranges) {
-    const auto under_way = of.transfers.find(IdOf(range));
-    const bool known = under_way != of.transfers.end();
-    if (!range.granted && known && !under_way->second.let_go) {
-      continue;  // The owner before may hold the keys; first it lets go.
+    const auto transfer_entry = service.transfers.find(IdOf(range));
+    const bool in_transfer = transfer_entry != service.transfers.end();
+    if (!range.granted && in_transfer && !transfer_entry->second.let_go) {
+      continue;  // The former owner may hold the keys and must release them.
     }
-    const bool fenced = known && under_way->second.fenced;
+    const bool fenced = in_transfer && transfer_entry->second.fenced;
     if (IsUsable(range.owner, now) && !fenced) {
       continue;
     }
@@ -118,63 +123,65 @@
       continue;
     }
     if (!usable) {
-      usable = Candidates(of.name, now);
+      usable = Candidates(service.name, now);
     }
-    const balance_target* to = LeastLoaded(draft, of.load.steady(), *usable);
-    // The same target in a new life keeps its keys, if it is there already.
-    for (const balance_target& each : *usable) {
-      if (each.life.id == range.owner.id) {
-        to = &each;
+    const balance_target* new_owner =
+        LeastLoaded(draft, service.load.steady(), *usable);
+    // A restarted target keeps its keys if its new process is already usable.
+    for (const balance_target& target : *usable) {
+      if (target.life.id == range.owner.id) {
+        new_owner = &target;
       }
     }
-    if (to == nullptr || to->life == range.owner) {
+    if (new_owner == nullptr || new_owner->life == range.owner) {
       continue;
     }
-    out.emplace_back(
-        NoteOf(assigner_note::kind::kTargetLost, of, range, range.owner.id));
-    Reassign(of, draft, range, to->life);
+    out.emplace_back(NoteOf(assigner_note::kind::kTargetLost, service, range,
+                            range.owner.id));
+    Reassign(service, draft, range, new_owner->life);
     changed = true;
   }
   return changed;
 }
 
-std::vector<key_move> key_assigner::PlanBalance(keyed_service& of,
+std::vector<key_move> key_assigner::PlanBalance(keyed_service& service,
                                                 const key_map& draft,
                                                 time_point now) {
-  const std::vector<balance_target> candidates = Candidates(of.name, now);
-  balance_limits hot;
-  hot.averaged = key_load::kRecentTime;
-  hot.overload = kHotOverload;
-  hot.underload = kHotUnderload;
+  const std::vector<balance_target> candidates = Candidates(service.name, now);
+  balance_limits recent;
+  recent.averaged = key_load::kRecentTime;
+  recent.overload = kRecentOverloadRatio;
+  recent.underload = kRecentUnderloadRatio;
   std::vector<key_move> moves =
-      PlanMoves(draft, of.load.recent(), candidates, hot);
+      PlanMoves(draft, service.load.recent(), candidates, recent);
   const bool moving =
       std::any_of(draft.ranges.begin(), draft.ranges.end(),
                   [](const key_range& range) { return !range.granted; });
-  if (moves.empty() && !moving && now - of.refined_at >= kRefineEvery) {
-    of.refined_at = now;
+  if (moves.empty() && !moving &&
+      now - service.refined_at >= kSteadyBalancePeriod) {
+    service.refined_at = now;
     balance_limits steady;
     steady.averaged = key_load::kSteadyTime;
-    steady.overload = kSteadyOverload;
-    steady.underload = kSteadyUnderload;
-    moves = PlanMoves(draft, of.load.steady(), candidates, steady);
+    steady.overload = kSteadyOverloadRatio;
+    steady.underload = kSteadyUnderloadRatio;
+    moves = PlanMoves(draft, service.load.steady(), candidates, steady);
   }
   return moves;
 }
 
-bool key_assigner::Balance(keyed_service& of, key_map& draft, time_point now,
-                           assigner_actions& out) {
-  if (now - of.balanced_at < kBalanceEvery || doubtful_) {
+bool key_assigner::Balance(keyed_service& service, key_map& draft,
+                           time_point now, assigner_actions& out) {
+  if (now - service.balanced_at < kBalancePeriod || doubtful_) {
     return false;
   }
-  of.balanced_at = now;
-  const std::vector<key_move> moves = PlanBalance(of, draft, now);
+  service.balanced_at = now;
+  const std::vector<key_move> moves = PlanBalance(service, draft, now);
   for (const key_move& move : moves) {
     for (key_range& range : CutOut(draft, move.first, move.last)) {
       if (range.granted) {
-        out.emplace_back(
-            NoteOf(assigner_note::kind::kKeysMoving, of, range, move.to.id));
-        Reassign(of, draft, range, move.to);
+        out.emplace_back(NoteOf(assigner_note::kind::kKeysMoving, service,
+                                range, move.to.id));
+        Reassign(service, draft, range, move.to);
       }
     }
   }
@@ -205,33 +212,36 @@
       usable.push_back(&state);
     }
   }
-  // Keys that would overload a cold target are better served elsewhere; but any
-  // owner is better than none.
-  const auto warm = std::partition(usable.begin(), usable.end(),
-                                   [&](const target_state* each) {
-                                     return !each->availability.IsCold(now);
-                                   });
-  if (warm != usable.begin()) {
-    usable.erase(warm, usable.end());
+  // Cold targets would be overloaded by keys, so that they are candidates only
+  // if no target is warm: any owner is better than none.
+  const auto first_cold = std::partition(
+      usable.begin(), usable.end(), [&](const target_state* target) {
+        return !target->availability.IsCold(now);
+      });
+  if (first_cold != usable.begin()) {
+    usable.erase(first_cold, usable.end());
   }
-  std::vector<balance_target> found;
-  std::vector<double> latencies;
-  double sum = 0.0;
-  size_t known = 0;
-  for (const target_state* each : usable) {
-    found.push_back({.life = each->entry.life,
-                     .capacity = static_cast<double>(each->entry.slots)});
-    latencies.push_back(each->latency_us);
-    sum += each->latency_us;
-    known += each->latency_us > 0.0 ? 1 : 0;
+  std::vector<balance_target> candidates;
+  std::vector<double> latencies_us;
+  double latency_sum_us = 0.0;
+  size_t measured_count = 0;
+  for (const target_state* target : usable) {
+    candidates.push_back(
+        {.life = target->entry.life,
+         .capacity = static_cast<double>(target->entry.slots)});
+    latencies_us.push_back(target->latency_us);
+    latency_sum_us += target->latency_us;
+    measured_count += target->latency_us > 0.0 ? 1 : 0;
   }
-  for (size_t i = 0; i < found.size(); ++i) {
-    if (latencies[i] > 0.0) {
-      const double mean = sum / static_cast<double>(known);
-      found[i].capacity *= std::clamp(mean / latencies[i], kSlowest, kFastest);
+  for (size_t i = 0; i < candidates.size(); ++i) {
+    if (latencies_us[i] > 0.0) {
+      const double mean_us =
+          latency_sum_us / static_cast<double>(measured_count);
+      candidates[i].capacity *=
+          std::clamp(mean_us / latencies_us[i], kMinSpeedRatio, kMaxSpeedRatio);
     }
   }
-  return found;
+  return candidates;
 }
 
 }  // namespace foxtailspread
