--- a/include/foxtailspread/key_assigner.h
+++ b/include/foxtailspread/key_assigner.h
@@ -478,13 +478,18 @@
   std::optional<pending_write> lease_write_;
   time_point held_until_{};
   time_point renew_at_{};
+  /// Until when this host renews its grants without holding the lease.
   time_point keeping_until_{};
   /// The highest number of a connection on which an order was answered while
   /// this host held the lease.
   uint64_t newest_connection_ = 0;
   time_point taken_at_{};
+  /// The revision of the write by which this host took the lease.
   uint64_t acting_from_revision_ = 0;
+  /// Whether the objects have been read at that revision or a later one.
   bool synced_since_taken_ = false;
+  /// Whether this host acted as the holder in the last update. The lease may
+  /// have lapsed since; see IsHolder().
   bool was_holder_ = false;
   bool leaving_ = false;
   std::map<std::string, keyed_service> services_;
--- a/src/core/assigner_lease.cc
+++ b/src/core/assigner_lease.cc
@@ -21,10 +21,10 @@
 /// holder by its heartbeats, which are datagrams.
 constexpr duration kLeaseRenewalPeriod{std::chrono::milliseconds{2000}};
 
-/// How long the lease must have been unchanged, by its own clock, before a host
-/// that is not a successor takes it. This exceeds the lease term by much more
-/// than the drift between two clocks in that time plus the transit time of an
-/// answer from the store.
+/// A host that is not a successor takes the lease after it has seen no change
+/// of it for this time by its own clock. This exceeds the lease term by much
+/// more than the drift between two clocks in that time plus the transit time of
+/// an answer from the store.
 constexpr duration kTakeoverTimeout{std::chrono::milliseconds{6500}};
 
 /// The holder sends a heartbeat each kHeartbeatPeriod and names up to
