--- a/include/foxtailspread/dispatch_types.h
+++ b/include/foxtailspread/dispatch_types.h
@@ -2,8 +2,8 @@
 #define FOXTAILSPREAD_DISPATCH_TYPES_H_
 
 /// @file
-/// The events that a dispatcher takes and the decisions that it gives back.
-/// All are plain values; nothing here refers to memory of the dispatcher.
+/// The input events and output decisions of a dispatcher. All are plain
+/// values; none points into the dispatcher's memory.
 
 #include <cstdint>
 #include <string_view>
@@ -14,91 +14,96 @@
 
 namespace foxtailspread {
 
-/// The index of a target within its dispatcher. It stays the same while the
-/// target stays in the list, whatever else joins or leaves.
+/// The index of a target within its dispatcher. It does not change while the
+/// target is in the target list, even if other targets are added or removed.
 using target_index = int32_t;
 inline constexpr target_index kNoTarget = -1;
 
-/// The bucket of a request to a pooled service.
+/// The bucket of a request to a pooled service, which has no keys.
 inline constexpr int32_t kNoBucket = -1;
 
-/// One request that wants to run in the dispatcher's range.
+/// One request submitted to a dispatcher. The dispatcher serves one range,
+/// that is one service in one zone.
 struct dispatch_request {
-  uint64_t request_id = 0;   ///< Unique among the requests not yet ended.
-  int32_t organisation = 0;  ///< Index into the rules given to SetPolicy.
+  uint64_t request_id = 0;   ///< Unique among unfinished requests.
+  int32_t organisation = 0;  ///< Index into the rules of SetPolicy.
   urgency level = urgency::kOrdinary;
-  time_point deadline;         ///< No answer is of use after it.
+  time_point deadline;         ///< Answers after it are useless.
   int32_t bucket = kNoBucket;  ///< The key's bucket in a keyed service.
-  uint64_t key_hash = 0;       ///< Looked up among the single-key owners.
-  /// Hash over organisation, service and body: what a request that crashes
-  /// its targets is recognised by. 0 opts out.
+  uint64_t key_hash = 0;       ///< Key of the single-key owner table.
+  /// Hash over organisation, service and body. Identifies requests that crash
+  /// their targets, also when the caller resends them. 0 disables the check.
   uint64_t content_hash = 0;
-  /// Running it twice does no harm. False is at-most-once.
+  /// Whether the request may run more than once. If false, it runs at most
+  /// once.
   bool repeatable = false;
 };
 
-/// How an attempt ended, as seen by whoever sent it.
+/// How an attempt ended, as observed by its sender.
 enum class attempt_end {
-  kAnswered,       ///< A whole answer arrived.
-  kNotStarted,     ///< The target promised that it did not begin (503, 504).
-  kRefusedOwner,   ///< The target does not own the key; not begun (409).
-  kConnectFailed,  ///< No connection, so nothing was sent.
+  kAnswered,       ///< A complete answer arrived.
+  kNotStarted,     ///< The target reports that it did not start it (503, 504).
+  kRefusedOwner,   ///< The target does not own the key; not started (409).
+  kConnectFailed,  ///< Connecting failed, so nothing was sent.
   kBroken,         ///< The connection broke after the request was sent.
-  kTimedOut,       ///< The sender gave up waiting.
+  kTimedOut,       ///< The sender's timeout expired.
   kCancelled,      ///< A cancel_attempt was carried out.
 };
 
-/// What is known about a request that ends without an answer.
+/// Whether a request that ended without an answer may have run.
 enum class dispatch_outcome {
-  kNotRun,   ///< No target began it.
-  kUnknown,  ///< A target may have begun or finished it.
+  kNotRun,   ///< No target started it.
+  kUnknown,  ///< A target may have started or completed it.
 };
 
 /// Why a request ended without an answer.
 enum class finish_reason {
-  kQueueFull,      ///< The organisation has too much waiting already.
-  kTooLate,        ///< The wait would be longer than the time left.
+  kQueueFull,      ///< The organisation's limit of waiting requests is reached.
+  kTooLate,        ///< The estimated wait exceeds the time to the deadline.
   kDeadline,       ///< The deadline passed.
-  kNoTarget,       ///< No target of the range is usable.
-  kNoOwner,        ///< The key's bucket found no owner in time.
-  kPoisoned,       ///< The same content crashed targets before.
-  kTargetLost,     ///< Its target was lost while it may have run.
-  kRetryBudget,    ///< It may be sent again, but not by this host now.
-  kCancelled,      ///< Its caller gave it up.
-  kNoAuthority,    ///< This host is not the range's steward any more.
-  kArchiveClosed,  ///< The preset in force admits no archive work.
+  kNoTarget,       ///< The range has no usable target.
+  kNoOwner,        ///< The key's bucket got no owner in time.
+  kPoisoned,       ///< The same content has crashed targets.
+  kTargetLost,     ///< The target was lost; the request may have run.
+  kRetryBudget,    ///< Retryable, but the retry budget is spent.
+  kCancelled,      ///< The caller cancelled the request.
+  kNoAuthority,    ///< This host is no longer the range's steward.
+  kArchiveClosed,  ///< The active preset admits no archive requests.
 };
 
-/// Returns the stable lower-case name of `reason`, as used in answers.
+/// Returns the lower-case name of `reason` that answers carry. The names are
+/// part of the protocol.
 std::string_view ToString(finish_reason reason);
 
-/// Send the request to the target now.
+/// Instruction to send the request to the target.
 struct start_attempt {
   uint64_t request_id = 0;
   uint64_t attempt_id = 0;
   target_index target = kNoTarget;
-  time_point deadline;  ///< Never later than the dispatcher's authority.
+  time_point deadline;  ///< In a keyed service at most the end of authority.
 };
 
-/// Close the attempt's connection and report AttemptEnded(kCancelled).
+/// Instruction to close the attempt's connection and to report its end as
+/// kCancelled to AttemptEnded.
 struct cancel_attempt {
   uint64_t attempt_id = 0;
 };
 
-/// Give the caller its final answer now.
+/// Instruction to send the final answer to the request's caller.
 struct finish_request {
   uint64_t request_id = 0;
   dispatch_outcome outcome = dispatch_outcome::kNotRun;
   finish_reason reason = finish_reason::kDeadline;
-  duration retry_after{0};  ///< When coming back is of use.
+  duration retry_after{0};  ///< Suggested delay before a resend.
 };
 
-/// The target shows signs of being lost or frozen. Given once per episode.
+/// Reports that the target seems to be lost or frozen. Reported once, until
+/// the target recovers.
 struct target_suspected {
   target_index target = kNoTarget;
 };
 
-/// One decision; they take effect in the order in which they are given.
+/// One decision. Decisions have to be carried out in order.
 using dispatch_decision = std::variant<start_attempt, cancel_attempt,
                                        finish_request, target_suspected>;
 
--- a/include/foxtailspread/dispatcher-inl.h
+++ b/include/foxtailspread/dispatcher-inl.h
@@ -2,8 +2,9 @@
 #define FOXTAILSPREAD_DISPATCHER_INL_H_
 
 /// @file
-/// The bodies of basic_dispatcher. Include it to use a picker of one's own;
-/// the one with the default picker is compiled into the library.
+/// The definitions of basic_dispatcher's member functions. Include this file to
+/// instantiate it with a custom picker; the library contains the instance with
+/// the default picker.
 
 #include <algorithm>
 #include <cmath>
@@ -171,8 +172,8 @@
                                        time_point now) const {
   const target_index target =
       Keyed() ? OwnerOf(request.bucket, request.key_hash) : kNoTarget;
-  const duration left = request.deadline - now;
-  if (left <= duration::zero()) {
+  const duration time_left = request.deadline - now;
+  if (time_left <= duration::zero()) {
     return refusal{finish_reason::kDeadline, DrainTime(target)};
   }
   const auto organisation = static_cast<size_t>(request.organisation);
@@ -192,24 +193,27 @@
   if (queue.Empty()) {
     return std::nullopt;
   }
-  const double mean = MeanUs(target);
-  const double ahead = queue.SizeAhead(request.organisation, request.level) /
-                       queue.ShareNow(request.organisation);
-  const double turns = std::min(ahead, static_cast<double>(queue.Size())) + 1;
-  const double wait = turns * mean / ParallelSlots(target);
-  const duration needed = dispatch_internal::Microseconds(wait + mean);
-  if (needed > left) {
-    return refusal{finish_reason::kTooLate, needed - left};
-  }
-  // A queue that stands for long only adds its length to every answer: as
-  // many are answered with a short one. A surveyor is better served by one
-  // answer soon and one refusal than by two late answers.
-  const bool stands = request.level == urgency::kUrgent &&
-                      queue.Size(urgency::kUrgent) > 0 &&
-                      now - queue.UrgentWaitsSince() > kStandingTime;
-  if (stands && wait > kStandingTurns * mean) {
+  const double mean_us = MeanUs(target);
+  const double weighted_ahead =
+      queue.SizeAhead(request.organisation, request.level) /
+      queue.ShareNow(request.organisation);
+  const double queue_position =
+      std::min(weighted_ahead, static_cast<double>(queue.Size())) + 1;
+  const double wait_us = queue_position * mean_us / ParallelSlots(target);
+  const duration time_needed =
+      dispatch_internal::Microseconds(wait_us + mean_us);
+  if (time_needed > time_left) {
+    return refusal{finish_reason::kTooLate, time_needed - time_left};
+  }
+  // A long standing queue delays every answer without raising throughput. For
+  // an interactive user, one early answer and one refusal are better than two
+  // late answers.
+  const bool standing_queue = request.level == urgency::kUrgent &&
+                              queue.Size(urgency::kUrgent) > 0 &&
+                              now - queue.UrgentWaitsSince() > kStandingTime;
+  if (standing_queue && wait_us > kStandingTurns * mean_us) {
     return refusal{finish_reason::kTooLate,
-                   dispatch_internal::Microseconds(wait)};
+                   dispatch_internal::Microseconds(wait_us)};
   }
   return std::nullopt;
 }
@@ -237,7 +241,7 @@
                                          ParallelSlots(target));
 }
 
-// The life of a request.
+// Request state changes.
 
 template <target_picker picker>
 live_request& basic_dispatcher<picker>::Allocate(
@@ -255,11 +259,11 @@
   live.due = request.deadline;
   by_due_.insert(live);
   if (by_id_.size() >= id_buckets_.size()) {
-    std::vector<typename request_index::bucket_type> larger(id_buckets_.size() *
-                                                            2);
-    by_id_.rehash(
-        typename request_index::bucket_traits(larger.data(), larger.size()));
-    id_buckets_.swap(larger);
+    std::vector<typename request_index::bucket_type> larger_buckets(
+        id_buckets_.size() * 2);
+    by_id_.rehash(typename request_index::bucket_traits(larger_buckets.data(),
+                                                        larger_buckets.size()));
+    id_buckets_.swap(larger_buckets);
   }
   by_id_.insert(live);
   const auto organisation = static_cast<size_t>(request.organisation);
@@ -374,7 +378,7 @@
   free_requests_.push_front(live);
 }
 
-// Starting.
+// Starting attempts.
 
 template <target_picker picker>
 void basic_dispatcher<picker>::Dispatch(target_index target, time_point now,
@@ -414,7 +418,8 @@
   }
 }
 
-// Returns false if nothing of the queue may start.
+// Starts or finishes the next request of the queue. Returns false if none may
+// start.
 template <target_picker picker>
 bool basic_dispatcher<picker>::StartNext(fair_queue& queue, target_index target,
                                          time_point now, decisions& out) {
@@ -466,34 +471,37 @@
 bool basic_dispatcher<picker>::ArchiveAllowed(target_index target) const {
   const int slots = targets_.UsableSlots();
   const double share = preset_.archive_share;
-  // Rounded up: of few slots, rounding down leaves archive work below its
-  // share while slots stand idle.
-  const int most = std::max(1, static_cast<int>(std::ceil(share * slots)));
+  // Rounded up: with few slots, rounding down would keep archive requests below
+  // their share while slots are idle.
+  const int max_running =
+      std::max(1, static_cast<int>(std::ceil(share * slots)));
   const target_state& state = targets_.At(target);
-  const int most_here =
+  const int max_running_here =
       std::max(1, static_cast<int>(std::ceil(share * state.slots)));
-  return targets_.ArchiveRunning() < most && state.archive_running < most_here;
+  return targets_.ArchiveRunning() < max_running &&
+         state.archive_running < max_running_here;
 }
 
-// Work that cannot be answered in time any more would take a slot from work
-// that can; and content that took targets down is checked again here, as its
-// copies may have been waiting while it did.
+// Returns whether the request may still start; if not, finishes or holds it. A
+// request that can no longer meet its deadline would take a slot from one that
+// can. The content is checked again because it may have crashed targets while
+// this copy was waiting.
 template <target_picker picker>
 bool basic_dispatcher<picker>::StillWorthwhile(live_request& live,
                                                target_index target,
                                                time_point now, decisions& out) {
-  const uint64_t content = live.request.content_hash;
-  const int crashes = poison_.Crashes(content, now);
-  if (crashes >= poison_guard::kQuarantineCrashes) {
+  const uint64_t content_hash = live.request.content_hash;
+  const int crash_count = poison_.Crashes(content_hash, now);
+  if (crash_count >= poison_guard::kQuarantineCrashes) {
     Finish(live, finish_reason::kPoisoned, poison_guard::kMarkLifetime, out);
     return false;
   }
-  if (crashes > 0 && RunsNow(content)) {
+  if (crash_count > 0 && RunsNow(content_hash)) {
     Hold(live, now);
     return false;
   }
-  const auto expected = dispatch_internal::Microseconds(MeanUs(target));
-  if (live.request.deadline - now < expected) {
+  const auto expected_time = dispatch_internal::Microseconds(MeanUs(target));
+  if (live.request.deadline - now < expected_time) {
     Finish(live, finish_reason::kDeadline, DrainTime(live.queued_at), out);
     return false;
   }
@@ -531,14 +539,15 @@
   live.attempt = &attempt;
   live.place = request_place::kRunning;
   live.last_target = target;
-  // Only a key has an owner. Work of a pooled service that were ended with the
-  // promise held at its start would be begun anew and never be done.
+  // Only a key's exclusive owner depends on the authority. If attempts of a
+  // pooled service also ended with the authority held at their start, long ones
+  // would be restarted again and again and never complete.
   const time_point deadline = Keyed()
                                   ? std::min(live.request.deadline, authority_)
                                   : live.request.deadline;
   SetDue(live, deadline);
-  // Only after idle time: put off by every start, checks would never come
-  // while short requests follow one another.
+  // Set only after an idle period. If every start postponed the next check, a
+  // continuous sequence of short requests would prevent all checks.
   if (!targets_.AnyRunning() && waiting_ == 0 && next_check_ < now) {
     next_check_ = now + kCheckPeriod;
   }
@@ -548,18 +557,18 @@
       start_attempt{live.request.request_id, id, target, deadline});
 }
 
-// Ends of attempts.
+// Ending attempts.
 
 template <target_picker picker>
 running_attempt& basic_dispatcher<picker>::AllocateAttempt() {
   if (free_attempts_.empty()) {
-    running_attempt& fresh = attempts_.emplace_back();
-    fresh.index = static_cast<uint32_t>(attempts_.size() - 1);
-    return fresh;
+    running_attempt& attempt = attempts_.emplace_back();
+    attempt.index = static_cast<uint32_t>(attempts_.size() - 1);
+    return attempt;
   }
-  running_attempt& reused = attempts_[free_attempts_.back()];
+  running_attempt& attempt = attempts_[free_attempts_.back()];
   free_attempts_.pop_back();
-  return reused;
+  return attempt;
 }
 
 template <target_picker picker>
@@ -578,8 +587,8 @@
     return nullptr;
   }
   running_attempt& attempt = attempts_[index];
-  const bool current = attempt.serial == serial && attempt.hook.is_linked();
-  return current ? &attempt : nullptr;
+  const bool is_current = attempt.serial == serial && attempt.hook.is_linked();
+  return is_current ? &attempt : nullptr;
 }
 
 template <target_picker picker>
@@ -591,9 +600,10 @@
   }
   const target_index target = attempt->target;
   live_request* live = attempt->request;
-  const double took = static_cast<double>((now - attempt->started).count());
+  const double elapsed_us =
+      static_cast<double>((now - attempt->started).count());
   QueueOf(Keyed() ? target : kNoTarget)
-      .Correct(attempt->organisation, took - attempt->charged);
+      .Correct(attempt->organisation, elapsed_us - attempt->charged);
   bool target_lost = false;
   if (end == attempt_end::kAnswered) {
     CountAnswer(*attempt, now);
@@ -627,8 +637,9 @@
                                            time_point now) {
   targets_.Answered(attempt, now);
   poison_.Clear(attempt.content_hash);
-  // An answer from before a break shows that only the connection was lost,
-  // not the target: what ran there then is no suspect.
+  // An answer to an attempt that started before the last break shows that only
+  // a connection was lost, not the target. The crashes counted for the contents
+  // that ran there are taken back.
   break_record& record = targets_.At(attempt.target).last_break;
   if (record.count > 0 && attempt.started < record.at) {
     for (int i = 0; i < record.count; ++i) {
@@ -653,10 +664,10 @@
 void basic_dispatcher<picker>::CountHealth(running_attempt& attempt,
                                            attempt_end end, time_point now,
                                            decisions& out) {
-  const bool blameless = end == attempt_end::kAnswered ||
-                         end == attempt_end::kRefusedOwner ||
-                         end == attempt_end::kCancelled;
-  if (!blameless && targets_.Failed(attempt.target, end, now)) {
+  const bool target_healthy = end == attempt_end::kAnswered ||
+                              end == attempt_end::kRefusedOwner ||
+                              end == attempt_end::kCancelled;
+  if (!target_healthy && targets_.Failed(attempt.target, end, now)) {
     out.emplace_back(target_suspected{attempt.target});
   }
 }
@@ -666,14 +677,15 @@
                                             bool target_lost, time_point now,
                                             decisions& out) {
   const target_index target = live.last_target;
-  const duration later = DrainTime(Keyed() ? target : kNoTarget);
+  const duration retry_after = DrainTime(Keyed() ? target : kNoTarget);
   switch (end) {
     case attempt_end::kNotStarted:
     case attempt_end::kRefusedOwner:
       break;
     case attempt_end::kConnectFailed:
       if (Keyed() && !suspended_) {
-        // Its gate bounds how often the owner is tried; no budget is needed.
+        // The target's gate limits how often connecting to the owner is
+        // retried, so no retry token is needed.
         Place(live, /*front=*/true, now);
         return;
       }
@@ -681,21 +693,21 @@
     case attempt_end::kBroken:
       live.may_have_run = true;
       if (!live.request.repeatable || target_lost) {
-        Finish(live, finish_reason::kTargetLost, later, out);
+        Finish(live, finish_reason::kTargetLost, retry_after, out);
         return;
       }
       break;
     case attempt_end::kTimedOut:
       live.may_have_run = true;
       if (!live.request.repeatable) {
-        Finish(live, finish_reason::kDeadline, later, out);
+        Finish(live, finish_reason::kDeadline, retry_after, out);
         return;
       }
       break;
     case attempt_end::kCancelled:
     case attempt_end::kAnswered:
       live.may_have_run = true;
-      Finish(live, finish_reason::kCancelled, later, out);
+      Finish(live, finish_reason::kCancelled, retry_after, out);
       return;
   }
   if (suspended_ || now >= authority_) {
@@ -703,7 +715,7 @@
     return;
   }
   if (!SpendRetry()) {
-    Finish(live, finish_reason::kRetryBudget, later, out);
+    Finish(live, finish_reason::kRetryBudget, retry_after, out);
     return;
   }
   if (end == attempt_end::kRefusedOwner && Keyed()) {
@@ -722,8 +734,9 @@
   return true;
 }
 
-// A frozen target would keep its requests until their deadline. Those that
-// may be repeated are taken back and run elsewhere, within the retry budget.
+// Requests on a frozen target would wait there until their deadline. Cancels
+// the attempts of repeatable requests and queues these requests again, within
+// the retry budget.
 template <target_picker picker>
 void basic_dispatcher<picker>::Rescue(target_index target, time_point now,
                                       decisions& out) {
@@ -745,7 +758,7 @@
   }
 }
 
-// What comes with time or with setters.
+// Handling of timers and of changes by setters.
 
 template <target_picker picker>
 void basic_dispatcher<picker>::Cancel(uint64_t request_id, time_point now,
@@ -834,17 +847,18 @@
   ReleaseHeld(now);
 }
 
-// Held requests whose owner is known again go on. They are given back to the
-// queue even if the owner is the one that refused: the grant may be there.
+// Queues held requests whose key has an owner again. This includes an owner
+// that refused the request: it may have received its grant by now.
 template <target_picker picker>
 void basic_dispatcher<picker>::ReleaseHeld(time_point now) {
   auto next = held_.begin();
   while (next != held_.end()) {
     live_request& live = *next;
     ++next;
-    const bool owned = !Keyed() || OwnerOf(live.request.bucket,
-                                           live.request.key_hash) != kNoTarget;
-    if (owned) {
+    const bool has_owner =
+        !Keyed() ||
+        OwnerOf(live.request.bucket, live.request.key_hash) != kNoTarget;
+    if (has_owner) {
       Unlink(live);
       Place(live, /*front=*/true, now);
     }
@@ -855,15 +869,17 @@
 void basic_dispatcher<picker>::Expire(time_point now, decisions& out) {
   while (!by_due_.empty() && by_due_.begin()->due <= now) {
     live_request& live = *by_due_.begin();
-    const bool ownerless = live.place == request_place::kHeld && Keyed() &&
-                           live.due < live.request.deadline;
-    const target_index ran_at =
+    const bool no_owner_in_time = live.place == request_place::kHeld &&
+                                  Keyed() && live.due < live.request.deadline;
+    const target_index attempt_target =
         live.attempt == nullptr ? kNoTarget : live.attempt->target;
-    Finish(live, ownerless ? finish_reason::kNoOwner : finish_reason::kDeadline,
-           DrainTime(live.queued_at), out);
-    if (ran_at != kNoTarget &&
-        targets_.Failed(ran_at, attempt_end::kTimedOut, now)) {
-      out.emplace_back(target_suspected{ran_at});
+    Finish(
+        live,
+        no_owner_in_time ? finish_reason::kNoOwner : finish_reason::kDeadline,
+        DrainTime(live.queued_at), out);
+    if (attempt_target != kNoTarget &&
+        targets_.Failed(attempt_target, attempt_end::kTimedOut, now)) {
+      out.emplace_back(target_suspected{attempt_target});
     }
   }
 }
--- a/include/foxtailspread/dispatcher.h
+++ b/include/foxtailspread/dispatcher.h
@@ -2,13 +2,14 @@
 #define FOXTAILSPREAD_DISPATCHER_H_
 
 /// @file
-/// Decides, for one range (one service in one zone), which request runs
-/// where and when, and which is refused.
+/// Decides for one range (one service in one zone) when and on which target
+/// each request runs, and which requests are refused.
 ///
-/// All requests of the range pass through the one dispatcher at its steward.
-/// It therefore knows the exact number of requests at each target: slots are
-/// never exceeded, waiting is in one place and in the right order, and the
-/// shares of organisations hold without any exchange between hosts.
+/// The host that is the range's steward runs its only dispatcher, and all
+/// requests of the range pass through it. The dispatcher therefore knows the
+/// exact number of requests at each target: slots are never exceeded, all
+/// waiting requests are ordered in one place, and the shares of organisations
+/// are enforced without communication between hosts.
 ///
 /// @code
 /// dispatcher range(placement_kind::kKeyed, service.buckets);
@@ -38,57 +39,62 @@
 
 namespace foxtailspread {
 
-/// The rule of one organisation, resolved for this service.
+/// The limits of one organisation for this service.
 struct organisation_rule {
-  double share = 1.0;    ///< Guaranteed part, relative to the others'.
-  int max_queued = 256;  ///< Of one class and the more urgent ones.
-  urgency most_urgent = urgency::kUrgent;  ///< Claims above it are lowered.
+  double share = 1.0;  ///< Guaranteed share of the slots, relative to others.
+  /// Limit of waiting requests of one urgency class and all more urgent ones.
+  int max_queued = 256;
+  urgency most_urgent = urgency::kUrgent;  ///< Higher levels are lowered to it.
 };
 
-/// What a dispatcher has done since it was made.
+/// Event counts since the dispatcher was constructed.
 struct dispatch_counters {
   uint64_t submitted = 0;
   uint64_t first_starts = 0;
   uint64_t retries = 0;
   uint64_t answered = 0;
-  uint64_t refused = 0;   ///< Ended at once by Submit.
-  uint64_t finished = 0;  ///< Ended without an answer, refusals included.
+  uint64_t refused = 0;   ///< Finished by Submit itself.
+  uint64_t finished = 0;  ///< Ended without an answer, including refused.
 };
 
 /// The dispatcher of one range. Deterministic: the same events at the same
 /// times give the same decisions.
 ///
-/// Each submitted request gets exactly one end: a finish_request, or
-/// AttemptEnded returns its number for an answer. Every attempt that was
-/// started has to be reported by AttemptEnded once, cancelled ones too; its
-/// slot is in use until then. Decisions are appended to `out`. Setters change
-/// state only; their consequences come with the next event, so call Tick
-/// after a batch of them. No exceptions but for lack of memory; in steady
-/// state no allocation either.
+/// Each submitted request ends exactly once: either with a finish_request, or
+/// when AttemptEnded returns its id for an answer. The user of this class must
+/// report the end of every started attempt, also of a cancelled one, to
+/// AttemptEnded exactly once; the attempt occupies its slot until then.
+/// Decisions are appended to `out`. Setters only change state; the resulting
+/// decisions come with the next event, so call Tick after a batch of setters.
+/// Throws only if memory runs out, and does not allocate in steady state.
 template <target_picker picker = least_loaded_picker>
 class basic_dispatcher {
  public:
-  /// How long a request waits for its bucket to get an owner.
+  /// Time for which a request waits for its bucket to get an owner.
   static constexpr duration kOwnerWait{std::chrono::milliseconds{1500}};
-  /// How often gates, silence and held requests are looked at.
+  /// Period of the checks for silent targets, for targets whose pause in starts
+  /// (gate) is over and for held requests that can continue.
   static constexpr duration kCheckPeriod{std::chrono::milliseconds{10}};
-  /// Once urgent requests have been waiting for this long without a break,
-  /// further ones are admitted only if they wait no longer than so many mean
-  /// service times.
+  /// Once urgent requests have been waiting without interruption for
+  /// kStandingQueueThreshold, another one is admitted only if its estimated
+  /// wait is at most kMaxStandingWaitServiceTimes mean service times.
   static constexpr duration kStandingTime{std::chrono::milliseconds{100}};
   static constexpr double kStandingTurns = 4;
-  /// Retries saved up at the most.
+  /// Capacity of the token bucket that limits retries.
   static constexpr double kRetryBurst = 10;
-  /// When to come back if nothing better is known.
+  /// The retry delay returned if there is no estimate.
   static constexpr duration kUnknownReturn{std::chrono::seconds{1}};
 
-  /// `buckets` is the service's; pooled services give 0.
+  /// `bucket_count` is the service's number of key buckets, 0 for a pooled
+  /// service.
   explicit basic_dispatcher(placement_kind placement, int buckets = 0,
                             picker choose = {});
   basic_dispatcher(const basic_dispatcher&) = delete;
   basic_dispatcher& operator=(const basic_dispatcher&) = delete;
 
-  /// Replaces the list of targets; those that stay keep state and index.
+  /// Replaces the list of targets. Targets in both lists keep their state and
+  /// index. `slots` and `connections` apply to each target; the smaller one
+  /// limits its concurrent requests.
   void SetTargets(std::span<const target_config> targets, int slots,
                   int connections);
   /// Returns the index of a target in the list, or kNoTarget.
@@ -98,42 +104,44 @@
   const target_state& Target(target_index target) const {
     return targets_.At(target);
   }
-  /// Sets the preset's values and the rules by organisation index.
+  /// Sets the preset's values and the rules, indexed by organisation.
   void SetPolicy(const preset_config& preset,
                  std::span<const organisation_rule> rules);
-  /// Sets who owns a bucket; kNoTarget while nobody does.
+  /// Sets the owner of a bucket, kNoTarget if it has none.
   void SetOwner(int32_t bucket, target_index owner);
-  /// Sets a single key's owner, which goes before its bucket's.
+  /// Sets the owner of a single key, which overrides that of its bucket.
   void SetKeyOwner(uint64_t key_hash, target_index owner);
   void ClearKeyOwner(uint64_t key_hash);
   void SetTargetUsability(target_index target, target_usability usability,
                           time_point now);
-  /// Sets the end of this host's authority; nothing starts after it and no
-  /// attempt of a keyed service runs past it.
+  /// Sets until when this host has authority over the range. No attempt starts
+  /// after that, and no attempt of a keyed service runs beyond it.
   void SetAuthority(time_point until) { authority_ = until; }
 
-  /// Takes a request on. Refusals are decided before it returns.
+  /// Admits or refuses a request. A refusal is among the decisions of this
+  /// call.
   void Submit(const dispatch_request& request, time_point now,
               std::vector<dispatch_decision>& out);
-  /// Reports the end of an attempt. For kAnswered returns the request that
-  /// gets the answer; none if it has its final answer already and this one
-  /// must be dropped.
+  /// Reports the end of an attempt. For kAnswered, returns the id of the
+  /// request that the answer belongs to, or nullopt if that request already has
+  /// its final answer and this answer must be dropped.
   std::optional<uint64_t> AttemptEnded(uint64_t attempt_id, attempt_end end,
                                        time_point now,
                                        std::vector<dispatch_decision>& out);
-  /// The caller gave the request up; unknown numbers are ignored.
+  /// Cancels a request on behalf of its caller. Unknown ids are ignored.
   void Cancel(uint64_t request_id, time_point now,
               std::vector<dispatch_decision>& out);
-  /// Does all that is due by `now`.
+  /// Expires requests, checks targets and starts requests as of `now`.
   void Tick(time_point now, std::vector<dispatch_decision>& out);
-  /// Returns when Tick is to be called next, if at all.
+  /// Returns when Tick must be called next, or nullopt if it need not be.
   std::optional<time_point> NextWake() const;
-  /// The host lost its authority: whatever waits is finished as not run,
-  /// nothing starts until Resume. Running attempts go on to their deadline.
+  /// Called when the host loses its authority. Finishes all waiting requests
+  /// and starts none until Resume. Running attempts may continue until their
+  /// deadline.
   void Suspend(time_point now, std::vector<dispatch_decision>& out);
   void Resume() { suspended_ = false; }
 
-  /// Marks of the poison guard; see there.
+  /// Access to the marks of the poison_guard, which describes them.
   std::vector<poison_mark> TakePoisonNews(time_point now) {
     return poison_.TakeNews(now);
   }
@@ -144,10 +152,10 @@
     poison_.Import(marks, now);
   }
 
-  /// Returns who serves this key now, kNoTarget if nobody does.
+  /// Returns the usable owner of the key, or kNoTarget if it has none.
   target_index OwnerOf(int32_t bucket, uint64_t key_hash) const;
   int Waiting() const { return waiting_; }
-  /// Returns all requests without an end, running ones included.
+  /// Returns the number of unfinished requests, including running ones.
   int Live() const { return static_cast<int>(by_due_.size()); }
   const dispatch_counters& Counters() const { return counters_; }
 
@@ -195,7 +203,7 @@
   double MeanUs(target_index target) const;
   duration DrainTime(target_index target) const;
 
-  // The life of a request.
+  // Request state changes.
   live_request& Allocate(const dispatch_request& request);
   void SetDue(live_request& live, time_point due);
   void Place(live_request& live, bool front, time_point now);
@@ -206,7 +214,7 @@
   void Release(live_request& live);
   void CountWaiting(const live_request& live, int step);
 
-  // Starting.
+  // Starting attempts.
   void Dispatch(target_index target, time_point now, decisions& out);
   void DispatchPooled(time_point now, decisions& out);
   void DispatchRetries(time_point now, decisions& out);
@@ -221,7 +229,7 @@
                        decisions& out);
   bool RunsNow(uint64_t content_hash) const;
 
-  // Ends of attempts.
+  // Ending attempts.
   running_attempt* FindAttempt(uint64_t attempt_id);
   running_attempt& AllocateAttempt();
   void FreeAttempt(running_attempt& attempt);
@@ -234,7 +242,7 @@
   bool SpendRetry();
   void Rescue(target_index target, time_point now, decisions& out);
 
-  // What comes with time or with setters.
+  // Handling of timers and of changes by setters.
   void ApplyChanges(time_point now, decisions& out);
   void Reroute(time_point now);
   void ReleaseHeld(time_point now);
@@ -244,7 +252,7 @@
 
   placement_kind placement_;
   picker picker_;
-  // Pools: entries never move; free ones are kept for the next use.
+  // Object pools. Entries keep their addresses; free entries are reused.
   std::deque<live_request> requests_;
   std::deque<running_attempt> attempts_;
   std::vector<uint32_t> free_attempts_;
@@ -258,10 +266,11 @@
   due_order by_due_;
   request_index by_id_;
 
-  std::vector<int16_t> owners_;  // by bucket
+  std::vector<int16_t> owners_;  // Indexed by bucket.
   std::unordered_map<uint64_t, target_index> key_owners_;
   std::vector<organisation_rule> rules_;
-  std::vector<std::array<int, kUrgencyCount>> queued_;  // by organisation
+  std::vector<std::array<int, kUrgencyCount>>
+      queued_;  // Indexed by organisation.
   preset_config preset_;
   poison_guard poison_;
   dispatch_counters counters_;
--- a/include/foxtailspread/fair_queue.h
+++ b/include/foxtailspread/fair_queue.h
@@ -2,8 +2,8 @@
 #define FOXTAILSPREAD_FAIR_QUEUE_H_
 
 /// @file
-/// The order in which waiting requests get slots: urgent first within each
-/// organisation's share, and shares between organisations.
+/// Orders waiting requests: slots are divided between organisations by share;
+/// among organisations within their share, urgent requests go first.
 
 #include <array>
 #include <boost/intrusive/list.hpp>
@@ -19,28 +19,32 @@
 
 struct running_attempt;
 
-/// Where a live request is.
+/// The state of a live request. A request is live from its admission until its
+/// final answer.
 enum class request_place : uint8_t {
-  kFree,     ///< In the pool, not live.
-  kQueued,   ///< In a fair_queue.
-  kRetry,    ///< Waits for a target other than its last one.
-  kHeld,     ///< Waits for its bucket's owner.
-  kRunning,  ///< Has an attempt.
+  kFree,    ///< Not live; its memory is in the pool.
+  kQueued,  ///< In a fair_queue.
+  kRetry,   ///< Pooled services: waits to run on another target.
+  /// Waits for its bucket's owner, or for the end of a running copy whose
+  /// content has crashed a target.
+  kHeld,
+  kRunning,  ///< Has a running attempt.
 };
 
-/// A live request of a dispatcher.
+/// A live request and its links to the dispatcher's containers.
 struct live_request {
   boost::intrusive::list_member_hook<> wait_hook;
   boost::intrusive::set_member_hook<> due_hook;
   boost::intrusive::unordered_set_member_hook<> id_hook;
   dispatch_request request;
-  time_point due;  ///< When it ends at the latest, as things stand.
+  time_point due;  ///< Finished at this time at the latest.
   time_point queued_since;
   running_attempt* attempt = nullptr;
   target_index last_target = kNoTarget;
-  target_index queued_at = kNoTarget;  ///< Whose queue, in a keyed service.
+  /// Keyed services: the target in whose queue it waits.
+  target_index queued_at = kNoTarget;
   request_place place = request_place::kFree;
-  /// An earlier attempt may have run it, so that not run must not be said.
+  /// An earlier attempt may have run it, so the outcome must not be kNotRun.
   bool may_have_run = false;
 };
 
@@ -49,61 +53,72 @@
                       live_request, boost::intrusive::list_member_hook<>,
                       &live_request::wait_hook>>;
 
-/// Weighted fair queueing between organisations with classes of urgency.
+/// Weighted fair queueing between organisations with urgency classes.
 ///
-/// Each organisation has a virtual time that grows by the cost of its starts
-/// divided by its share; the queue has one that follows. An organisation not
-/// ahead of the queue's is within its share, and among those the most urgent
-/// class goes first. Only then are slots lent to organisations beyond their
-/// share. An organisation that was idle starts just before the queue's virtual
-/// time: its share is there at the next free slot, but is not saved up.
+/// Each organisation has a virtual time that advances by the cost of its starts
+/// divided by its share. The queue has a virtual time of its own that advances
+/// by the cost of each start divided by the sum of the shares of all waiting
+/// organisations. An organisation is within its share while it is at most
+/// kMaxStartsAhead starts ahead of the queue's virtual time. Among these
+/// organisations the most urgent class goes first. If all waiting organisations
+/// have exceeded their share, the most urgent class goes first as well. An
+/// organisation that becomes active again begins at most one start behind the
+/// queue's virtual time: it gets the next free slot, but no credit for the time
+/// it was idle.
 ///
-/// Requests are linked, never owned; they must outlive their stay here.
+/// The queue links requests but does not own them. A request must outlive its
+/// time in the queue.
 class fair_queue {
  public:
-  /// While archive work waits, at least one start in so many is archive: it
-  /// goes slowly under load, but it goes.
+  /// After this many other starts, a waiting archive request starts next if
+  /// archive requests are allowed. They thus make progress under load.
   static constexpr int kArchiveEvery = 64;
-  /// An organisation may be ahead by so many starts and still be within its
-  /// share. With few, a chance run of urgent requests waits behind others'
-  /// ordinary ones.
+  /// Starts by which an organisation may be ahead of the queue and still count
+  /// as within its share. If this is too small, a short burst of urgent
+  /// requests waits behind ordinary requests of other organisations.
   static constexpr int kMostAhead = 16;
-  /// An organisation held back may be behind by so many starts.
+  /// Starts by which an organisation may be behind the queue, for example
+  /// because of the limit on archive requests. A larger deficit is forfeited.
   static constexpr int kMostBehind = 4;
 
   fair_queue() = default;
   fair_queue(const fair_queue&) = delete;
   fair_queue& operator=(const fair_queue&) = delete;
 
-  /// Sets the share of one organisation; 1 until set.
+  /// Sets the share of one organisation. The default is 1.
   void SetShare(int32_t organisation, double share);
 
-  /// Adds a request behind (or, for a retry, before) those of its kind.
+  /// Adds a request at the back (retries: at the front) of its organisation's
+  /// queue for its urgency class.
   void PushBack(live_request& waiting);
   void PushFront(live_request& waiting);
-  /// Takes a request out, wherever it stands.
+  /// Removes a request from any position.
   void Erase(live_request& waiting);
 
-  /// Removes and returns the request that goes next, nullptr if none may.
-  /// `cost` is the slot time that it is expected to take.
+  /// Removes and returns the next request, or nullptr if none may start.
+  /// `cost_us` is its expected slot time.
   live_request* Pop(bool archive_allowed, double cost);
 
-  /// Corrects a charge once the real slot time is known.
+  /// Adjusts the charge of a start by `difference_us`, the measured slot time
+  /// minus the expected one.
   void Correct(int32_t organisation, double difference);
 
   bool Empty() const { return size_ == 0; }
   int Size() const { return size_; }
-  /// Returns how many wait in this class, all organisations together.
+  /// Returns how many requests of this class wait, over all organisations.
   int Size(urgency level) const { return by_class_[Index(level)].size; }
-  /// Returns since when there was always an urgent request waiting; of use
-  /// only while there is one.
+  /// Returns since when at least one urgent request has been waiting without
+  /// interruption. Valid only while an urgent request waits.
   time_point UrgentWaitsSince() const { return urgent_since_; }
-  /// Returns how many of the organisation wait that go before a new one.
+  /// Returns how many waiting requests of the organisation would start before
+  /// a new request of this class.
   int SizeAhead(int32_t organisation, urgency level) const;
-  /// Returns the organisation's part among those that wait, itself included.
+  /// Returns the organisation's share divided by the sum of the shares of all
+  /// waiting organisations and itself.
   double ShareNow(int32_t organisation) const;
 
-  /// Calls `visit` on each waiting request; it may erase the one it is given.
+  /// Calls `visit` for each waiting request. `visit` may erase the request
+  /// that it is called with.
   template <typename visitor>
   void ForEach(visitor visit);
 
@@ -150,12 +165,13 @@
   void Reorder(flow& moved, double virtual_time);
   void Forget(class_flow& kind, live_request& waiting);
 
-  // Flows are declared first, as the orders link into them.
-  std::vector<std::unique_ptr<flow>> flows_;  // by organisation
+  // Declared before by_class_, whose orders link to the flows and must be
+  // destroyed first.
+  std::vector<std::unique_ptr<flow>> flows_;  // Indexed by organisation.
   std::array<class_state, kUrgencyCount> by_class_;
   double virtual_time_ = 0;
   double last_cost_ = 0;
-  double waiting_share_ = 0;  // sum over organisations that wait
+  double waiting_share_ = 0;  // Sum of the shares of waiting organisations.
   int size_ = 0;
   int since_archive_ = 0;
   time_point urgent_since_;
@@ -167,9 +183,9 @@
     if (f == nullptr || f->size == 0) {
       continue;
     }
-    for (class_flow& kind : f->classes) {
-      auto next = kind.waiting.begin();
-      while (next != kind.waiting.end()) {
+    for (class_flow& class_entry : f->classes) {
+      auto next = class_entry.waiting.begin();
+      while (next != class_entry.waiting.end()) {
         live_request& current = *next;
         ++next;
         visit(current);
--- a/include/foxtailspread/service_estimator.h
+++ b/include/foxtailspread/service_estimator.h
@@ -2,7 +2,7 @@
 #define FOXTAILSPREAD_SERVICE_ESTIMATOR_H_
 
 /// @file
-/// What is known of service times from answers seen first-hand.
+/// Estimates service times from the answers that this host has received.
 
 #include <algorithm>
 
@@ -10,19 +10,19 @@
 
 namespace foxtailspread {
 
-/// The running mean and a slowly forgotten maximum of service times.
+/// The moving average and a slowly decaying maximum of service times.
 ///
 /// @code
-/// service_estimator estimator;
+/// service_time_estimator estimator;
 /// estimator.Add(measured);
 /// duration expected = estimator.Mean();
 /// @endcode
 class service_estimator {
  public:
-  /// Taken for the mean until the first answer.
+  /// The mean before the first sample.
   static constexpr double kInitialMeanUs = 2000;
 
-  /// Counts one measured service time.
+  /// Adds one measured service time.
   void Add(duration measured) {
     const auto us = static_cast<double>(measured.count());
     samples_ = std::min(samples_ + 1, kWindow);
@@ -33,7 +33,7 @@
   bool Empty() const { return samples_ == 0; }
   double MeanUs() const { return mean_us_; }
   duration Mean() const { return duration(static_cast<int64_t>(mean_us_)); }
-  /// Returns about the longest service time among the latest thousand.
+  /// Returns approximately the longest of the last 1000 service times.
   duration High() const { return duration(static_cast<int64_t>(high_us_)); }
 
  private:
--- a/src/core/fair_queue.cc
+++ b/src/core/fair_queue.cc
@@ -26,18 +26,18 @@
 }
 
 live_request* fair_queue::Pop(bool archive_allowed, double cost) {
-  class_flow* kind = Choose(archive_allowed, cost);
-  if (kind == nullptr) {
+  class_flow* class_entry = Choose(archive_allowed, cost);
+  if (class_entry == nullptr) {
     return nullptr;
   }
-  live_request& first = kind->waiting.front();
+  live_request& first = class_entry->waiting.front();
   if (first.request.level == urgency::kArchive) {
     since_archive_ = 0;
   } else if (Size(urgency::kArchive) > 0) {
     since_archive_++;
   }
-  Charge(*kind->owner, cost);
-  Forget(*kind, first);
+  Charge(*class_entry->owner, cost);
+  Forget(*class_entry, first);
   return &first;
 }
 
@@ -51,18 +51,18 @@
   if (f == nullptr) {
     return 0;
   }
-  size_t ahead = 0;
+  size_t count = 0;
   for (size_t c = 0; c <= Index(level); ++c) {
-    ahead += f->classes[c].waiting.size();
+    count += f->classes[c].waiting.size();
   }
-  return static_cast<int>(ahead);
+  return static_cast<int>(count);
 }
 
 double fair_queue::ShareNow(int32_t organisation) const {
   const flow* f = FindFlow(organisation);
-  const double own = f == nullptr ? 1 : f->share;
-  const bool waits = f != nullptr && f->size > 0;
-  return own / (waits ? waiting_share_ : waiting_share_ + own);
+  const double own_share = f == nullptr ? 1 : f->share;
+  const bool is_waiting = f != nullptr && f->size > 0;
+  return own_share / (is_waiting ? waiting_share_ : waiting_share_ + own_share);
 }
 
 fair_queue::flow& fair_queue::FlowOf(int32_t organisation) {
@@ -73,8 +73,8 @@
   if (flows_[index] == nullptr) {
     flows_[index] = std::make_unique<flow>();
     flows_[index]->organisation = organisation;
-    for (class_flow& kind : flows_[index]->classes) {
-      kind.owner = flows_[index].get();
+    for (class_flow& class_entry : flows_[index]->classes) {
+      class_entry.owner = flows_[index].get();
     }
   }
   return *flows_[index];
@@ -89,15 +89,15 @@
   flow& f = FlowOf(waiting.request.organisation);
   const size_t level = Index(waiting.request.level);
   if (f.size == 0) {
-    // One start ahead of those that have been waiting, so that it gets the
-    // next free slot and not a draw.
+    // One start behind the queue's virtual time, so that this organisation
+    // reliably gets the next free slot instead of tying with the others.
     f.virtual_time =
         std::max(f.virtual_time, virtual_time_ - last_cost_ / f.share);
     waiting_share_ += f.share;
   }
-  class_flow& kind = f.classes[level];
-  if (kind.waiting.empty()) {
-    by_class_[level].order.insert(kind);
+  class_flow& class_entry = f.classes[level];
+  if (class_entry.waiting.empty()) {
+    by_class_[level].order.insert(class_entry);
   }
   if (level == Index(urgency::kUrgent) && by_class_[level].size == 0) {
     urgent_since_ = waiting.queued_since;
@@ -105,7 +105,7 @@
   f.size++;
   by_class_[level].size++;
   size_++;
-  return kind;
+  return class_entry;
 }
 
 fair_queue::class_flow* fair_queue::Choose(bool archive_allowed, double cost) {
@@ -114,7 +114,7 @@
   if (archive_waits && since_archive_ >= kArchiveEvery) {
     return &*archive.begin();
   }
-  class_flow* lent = nullptr;
+  class_flow* over_share = nullptr;
   for (size_t c = 0; c < by_class_.size(); ++c) {
     flow_order& order = by_class_[c].order;
     const bool allowed = c != Index(urgency::kArchive) || archive_allowed;
@@ -122,41 +122,45 @@
       continue;
     }
     class_flow& first = *order.begin();
-    const double ahead = kMostAhead * cost / first.owner->share;
-    if (first.owner->virtual_time <= virtual_time_ + ahead) {
+    const double max_ahead = kMostAhead * cost / first.owner->share;
+    if (first.owner->virtual_time <= virtual_time_ + max_ahead) {
       return &first;
     }
-    lent = lent == nullptr ? &first : lent;
+    over_share = over_share == nullptr ? &first : over_share;
   }
-  return lent;
+  return over_share;
 }
 
 void fair_queue::Charge(flow& charged, double cost) {
   last_cost_ = cost;
-  const double shares = std::max(waiting_share_, charged.share);
-  virtual_time_ += cost / shares;
-  // An organisation held back by the cap on archive work falls behind; if it
-  // kept all of that, its next urgent run would shut everybody else out.
-  const double behind = kMostBehind * cost / charged.share;
-  const double begin = std::max(charged.virtual_time, virtual_time_ - behind);
-  Reorder(charged, begin + cost / charged.share);
-  // Nobody waits who is not ahead of the queue's time: catch up, or all
-  // would count as borrowing and urgency alone would decide.
-  double least = charged.virtual_time;
+  const double active_shares = std::max(waiting_share_, charged.share);
+  virtual_time_ += cost / active_shares;
+  // The limit on archive requests can leave an organisation far behind. With
+  // all of that credit, its next burst of urgent requests would block all
+  // other organisations, so the credit is limited.
+  const double max_behind = kMostBehind * cost / charged.share;
+  const double start_time =
+      std::max(charged.virtual_time, virtual_time_ - max_behind);
+  Reorder(charged, start_time + cost / charged.share);
+  // If every waiting organisation is ahead of the queue's virtual time, move
+  // it forward to the earliest one. Otherwise all would count as over their
+  // share, and urgency alone would decide the order.
+  double min_virtual_time = charged.virtual_time;
   for (const class_state& state : by_class_) {
     if (!state.order.empty()) {
-      least = std::min(least, state.order.begin()->owner->virtual_time);
+      min_virtual_time =
+          std::min(min_virtual_time, state.order.begin()->owner->virtual_time);
     }
   }
-  virtual_time_ = std::max(virtual_time_, least);
+  virtual_time_ = std::max(virtual_time_, min_virtual_time);
 }
 
 void fair_queue::Reorder(flow& moved, double virtual_time) {
   for (size_t c = 0; c < by_class_.size(); ++c) {
-    class_flow& kind = moved.classes[c];
-    if (kind.order_hook.is_linked()) {
+    class_flow& class_entry = moved.classes[c];
+    if (class_entry.order_hook.is_linked()) {
       flow_order& order = by_class_[c].order;
-      order.erase(order.iterator_to(kind));
+      order.erase(order.iterator_to(class_entry));
     }
   }
   moved.virtual_time = virtual_time;
--- a/tests/dispatcher_fixture.h
+++ b/tests/dispatcher_fixture.h
@@ -10,7 +10,8 @@
 
 namespace foxtailspread {
 
-/// A dispatcher in virtual time with helpers that pick out its decisions.
+/// Functions that call a dispatcher in virtual time and select decisions by
+/// type.
 class dispatcher_fixture : public testing::Test {
  protected:
   static constexpr int kBuckets = 8;
@@ -31,7 +32,7 @@
     return targets;
   }
 
-  /// Sets up targets whose ramp-up is over.
+  /// Adds `targets` targets and completes their ramp-up by answered requests.
   static void SetUp(dispatcher& range, int targets) {
     range.SetTargets(Targets(targets), kSlots, 50);
     const std::vector<organisation_rule> rules(2);
@@ -41,10 +42,10 @@
     }
     std::vector<dispatch_decision> out;
     for (uint64_t i = 0; i < 24UL * static_cast<uint64_t>(targets); ++i) {
-      dispatch_request warm = Request(1'000'000 + i);
-      warm.bucket = static_cast<int32_t>(i % kBuckets);
+      dispatch_request ramp_up_request = Request(1'000'000 + i);
+      ramp_up_request.bucket = static_cast<int32_t>(i % kBuckets);
       out.clear();
-      range.Submit(warm, At(0), out);
+      range.Submit(ramp_up_request, At(0), out);
       range.AttemptEnded(Starts(out).at(0).attempt_id, attempt_end::kAnswered,
                          At(0) + std::chrono::milliseconds{2}, out);
     }
@@ -61,11 +62,12 @@
             .repeatable = false};
   }
 
-  template <typename kind>
-  static std::vector<kind> All(const std::vector<dispatch_decision>& out) {
-    std::vector<kind> found;
+  template <typename decision_type>
+  static std::vector<decision_type> All(
+      const std::vector<dispatch_decision>& out) {
+    std::vector<decision_type> found;
     for (const dispatch_decision& decision : out) {
-      if (const kind* match = std::get_if<kind>(&decision)) {
+      if (const decision_type* match = std::get_if<decision_type>(&decision)) {
         found.push_back(*match);
       }
     }
--- a/tests/dispatcher_property_test.cc
+++ b/tests/dispatcher_property_test.cc
@@ -15,11 +15,12 @@
 constexpr int kSlots = 2;
 constexpr int kTargets = 3;
 
-/// Drives a dispatcher with random events and checks each decision against
-/// what a caller and a target see.
-class checked_run {
+/// Sends random events to a dispatcher and checks each decision against the
+/// state of the requests and attempts as callers and targets see it.
+class dispatcher_checker {
  public:
-  explicit checked_run(placement_kind placement) : range_(placement, kBuckets) {
+  explicit dispatcher_checker(placement_kind placement)
+      : range_(placement, kBuckets) {
     std::vector<target_config> targets;
     targets.reserve(kTargets);
     for (int i = 0; i < kTargets; ++i) {
@@ -51,26 +52,26 @@
         range_.Cancel(*rc::gen::inRange<uint64_t>(0, next_id_ + 1), now_, out_);
         break;
       case 4:
-        Authority();
+        SuspendOrResume();
         break;
       default:
-        Traffic();
+        SubmitOrEndAttempt();
     }
-    Check();
+    CheckDecisions();
   }
 
-  /// Ends whatever runs and lets the time go on until nothing is live.
+  /// Ends all running attempts and advances the time until no request is live.
   void Drain() {
     range_.Resume();
     for (int i = 0; i < 4000 && (!running_.empty() || range_.Live() > 0); ++i) {
       out_.clear();
       if (!running_.empty()) {
-        EndOne(attempt_end::kAnswered);
+        EndRandomAttempt(attempt_end::kAnswered);
       } else {
         now_ += duration{10'000};
         range_.Tick(now_, out_);
       }
-      Check();
+      CheckDecisions();
     }
     RC_ASSERT(live_.empty());
     RC_ASSERT(range_.Live() == 0);
@@ -78,22 +79,22 @@
   }
 
  private:
-  struct seen {
+  struct request_record {
     bool repeatable = false;
     bool may_have_run = false;
   };
-  struct started {
+  struct attempt_record {
     uint64_t request_id;
     target_index target;
   };
 
-  void Traffic() {
+  void SubmitOrEndAttempt() {
     if (*rc::gen::arbitrary<bool>()) {
       Submit();
     } else if (*rc::gen::inRange(0, 3) == 0) {
-      EndOne(static_cast<attempt_end>(*rc::gen::inRange(1, 6)));
+      EndRandomAttempt(static_cast<attempt_end>(*rc::gen::inRange(1, 6)));
     } else {
-      EndOne(attempt_end::kAnswered);
+      EndRandomAttempt(attempt_end::kAnswered);
     }
   }
 
@@ -111,7 +112,7 @@
     range_.Submit(request, now_, out_);
   }
 
-  void Authority() {
+  void SuspendOrResume() {
     if (*rc::gen::arbitrary<bool>()) {
       range_.Suspend(now_, out_);
     } else {
@@ -119,22 +120,23 @@
     }
   }
 
-  void EndOne(attempt_end end) {
+  void EndRandomAttempt(attempt_end end) {
     if (running_.empty()) {
       return;
     }
-    auto chosen = running_.begin();
-    std::advance(chosen, *rc::gen::inRange<size_t>(0, running_.size()));
-    if (cancelled_.count(chosen->first) != 0 && end != attempt_end::kAnswered) {
+    auto chosen_attempt = running_.begin();
+    std::advance(chosen_attempt, *rc::gen::inRange<size_t>(0, running_.size()));
+    if (cancelled_.count(chosen_attempt->first) != 0 &&
+        end != attempt_end::kAnswered) {
       end = attempt_end::kCancelled;
     }
-    const auto [attempt_id, attempt] = *chosen;
-    running_.erase(chosen);
-    const bool started = end == attempt_end::kBroken ||
-                         end == attempt_end::kTimedOut ||
-                         end == attempt_end::kCancelled;
+    const auto [attempt_id, attempt] = *chosen_attempt;
+    running_.erase(chosen_attempt);
+    const bool may_have_run = end == attempt_end::kBroken ||
+                              end == attempt_end::kTimedOut ||
+                              end == attempt_end::kCancelled;
     const auto request = live_.find(attempt.request_id);
-    if (started && request != live_.end()) {
+    if (may_have_run && request != live_.end()) {
       request->second.may_have_run = true;
     }
     const auto answered = range_.AttemptEnded(attempt_id, end, now_, out_);
@@ -144,28 +146,29 @@
     }
   }
 
-  void Check() {
+  void CheckDecisions() {
     for (const dispatch_decision& decision : out_) {
-      std::visit([this](const auto& d) { On(d); }, decision);
+      std::visit([this](const auto& d) { CheckDecision(d); }, decision);
     }
-    std::map<target_index, int> used;
+    std::map<target_index, int> running_per_target;
     for (const auto& [id, attempt] : running_) {
-      RC_ASSERT(++used[attempt.target] <= kSlots);
+      RC_ASSERT(++running_per_target[attempt.target] <= kSlots);
     }
   }
 
-  void On(const start_attempt& start) {
+  void CheckDecision(const start_attempt& start) {
     const auto request = live_.find(start.request_id);
     RC_ASSERT(request != live_.end());
-    // At most once: never begun again after an end that leaves it open.
+    // A request that is not repeatable must not start again once it may have
+    // run.
     RC_ASSERT(request->second.repeatable || !request->second.may_have_run);
     RC_ASSERT(start.deadline > now_);
-    RC_ASSERT(
-        running_
-            .emplace(start.attempt_id, started{start.request_id, start.target})
-            .second);
+    RC_ASSERT(running_
+                  .emplace(start.attempt_id,
+                           attempt_record{start.request_id, start.target})
+                  .second);
   }
-  void On(const cancel_attempt& cancel) {
+  void CheckDecision(const cancel_attempt& cancel) {
     const auto attempt = running_.find(cancel.attempt_id);
     RC_ASSERT(attempt != running_.end());
     RC_ASSERT(cancelled_.insert(cancel.attempt_id).second);
@@ -173,14 +176,14 @@
     RC_ASSERT(request != live_.end());
     request->second.may_have_run = true;
   }
-  void On(const finish_request& finish) {
+  void CheckDecision(const finish_request& finish) {
     const auto request = live_.find(finish.request_id);
     RC_ASSERT(request != live_.end());
     const bool unknown = finish.outcome == dispatch_outcome::kUnknown;
     RC_ASSERT(unknown == request->second.may_have_run);
     live_.erase(request);
   }
-  void On(const target_suspected& suspected) {
+  void CheckDecision(const target_suspected& suspected) {
     RC_ASSERT(suspected.target >= 0);
     RC_ASSERT(suspected.target < kTargets);
   }
@@ -189,30 +192,32 @@
   time_point now_{std::chrono::seconds{1}};
   std::vector<dispatch_decision> out_;
   uint64_t next_id_ = 0;
-  std::map<uint64_t, seen> live_;
-  std::map<uint64_t, started> running_;
+  std::map<uint64_t, request_record> live_;
+  std::map<uint64_t, attempt_record> running_;
   std::set<uint64_t> cancelled_;
 };
 
 void RunSteps(placement_kind placement) {
-  checked_run run(placement);
+  dispatcher_checker checker(placement);
   const int steps = *rc::gen::inRange(1, 300);
   for (int i = 0; i < steps; ++i) {
-    run.Step();
+    checker.Step();
   }
-  run.Drain();
+  checker.Drain();
 }
 
-RC_GTEST_PROP(DispatcherPropertyTest, KeyedRequestsEndOnceWithinTheSlots, ()) {
+RC_GTEST_PROP(DispatcherPropertyTest, KeyedRequestsEndOnceWithinSlotLimit, ()) {
   RunSteps(placement_kind::kKeyed);
 }
 
-RC_GTEST_PROP(DispatcherPropertyTest, PooledRequestsEndOnceWithinTheSlots, ()) {
+RC_GTEST_PROP(DispatcherPropertyTest, PooledRequestsEndOnceWithinSlotLimit,
+              ()) {
   RunSteps(placement_kind::kPooled);
 }
 
-/// Two organisations keep a backlog; each gets slot time by its share.
-RC_GTEST_PROP(DispatcherPropertyTest, BackloggedOrganisationsShareByWeight,
+/// While two organisations have a backlog, each gets slot time in proportion to
+/// its share.
+RC_GTEST_PROP(DispatcherPropertyTest, BackloggedOrganisationsGetSlotsByShare,
               ()) {
   const int weight = *rc::gen::inRange(1, 9);
   dispatcher range(placement_kind::kPooled);
@@ -237,10 +242,10 @@
   for (size_t i = 0; i < 900 && i < out.size(); ++i) {
     const auto* start = std::get_if<start_attempt>(&out[i]);
     RC_ASSERT(start != nullptr);
-    const start_attempt ended = *start;
-    starts[ended.request_id % 2]++;
+    const start_attempt attempt = *start;
+    starts[attempt.request_id % 2]++;
     now += duration{1000};
-    range.AttemptEnded(ended.attempt_id, attempt_end::kAnswered, now, out);
+    range.AttemptEnded(attempt.attempt_id, attempt_end::kAnswered, now, out);
   }
   RC_ASSERT(starts[0] + starts[1] == 900);
   const double expected = 900.0 / (weight + 1);
--- a/tests/dispatcher_test.cc
+++ b/tests/dispatcher_test.cc
@@ -5,7 +5,7 @@
 namespace foxtailspread {
 namespace {
 
-// Named by its subject, as GoogleTest prints it.
+// GoogleTest prints the class name as the name of the test suite.
 // NOLINTNEXTLINE(readability-identifier-naming)
 class DispatcherTest : public dispatcher_fixture {
  protected:
@@ -14,7 +14,8 @@
     SetUp(pooled_, 4);
   }
 
-  /// Runs requests on every slot of the keyed target 0; returns the attempts.
+  /// Starts a request on every slot of target 0 of the keyed dispatcher and
+  /// returns the attempt ids.
   std::vector<uint64_t> FillOwner() {
     std::vector<uint64_t> attempts;
     for (uint64_t id = 1; id <= kSlots; ++id) {
@@ -27,7 +28,7 @@
   dispatcher pooled_{placement_kind::kPooled, kBuckets};
 };
 
-TEST_F(DispatcherTest, FullOwnerQueuesAndStartsAtTheNextFreeSlot) {
+TEST_F(DispatcherTest, RequestToFullOwnerStartsAtNextFreeSlot) {
   const std::vector<uint64_t> attempts = FillOwner();
   EXPECT_TRUE(Starts(Submit(keyed_, Request(4))).empty());
   const auto out = End(keyed_, attempts[0], attempt_end::kAnswered, 12);
@@ -46,9 +47,9 @@
   EXPECT_EQ(Starts(out)[0].request_id, 5U);
 }
 
-// Archive pulls run for long. If they hold every slot when a surveyor's
-// lookup arrives, the surveyor waits for a whole pull.
-TEST_F(DispatcherTest, ArchiveWorkLeavesSlotsFree) {
+// Archive requests run for a long time. If they occupied every slot, an
+// interactive request would have to wait for one of them to end.
+TEST_F(DispatcherTest, ArchiveRequestsLeaveSlotFreeForOthers) {
   for (uint64_t id = 1; id <= 3; ++id) {
     dispatch_request archive = Request(id);
     archive.level = urgency::kArchive;
@@ -57,9 +58,9 @@
   EXPECT_EQ(Starts(Submit(keyed_, Request(9))).size(), 1U);
 }
 
-// One shop sends far more than its share. The other shop's request must not
-// wait behind all of that.
-TEST_F(DispatcherTest, QuietOrganisationGetsTheNextFreeSlot) {
+// One organisation sends far more than its share. A request of another
+// organisation must not wait behind that backlog.
+TEST_F(DispatcherTest, IdleOrganisationGetsNextFreeSlot) {
   const std::vector<uint64_t> attempts = FillOwner();
   for (uint64_t id = 10; id < 60; ++id) {
     Submit(keyed_, Request(id));
@@ -72,16 +73,16 @@
   EXPECT_EQ(Starts(out)[0].request_id, 99U);
 }
 
-// More arrives than the targets can serve. A caller that is kept waiting
-// until its deadline learns nothing; it has to hear at once when to return.
-TEST_F(DispatcherTest, RequestThatCannotMeetItsDeadlineIsRefusedAtOnce) {
+// Under overload, a request whose estimated wait exceeds its deadline must be
+// refused at once with a retry delay, instead of waiting until its deadline.
+TEST_F(DispatcherTest, RequestThatCannotMeetDeadlineIsRefusedAtOnce) {
   FillOwner();
   for (uint64_t id = 10; id < 60; ++id) {
     Submit(keyed_, Request(id));
   }
-  dispatch_request hasty = Request(99);
-  hasty.deadline = At(20);
-  const auto finishes = Finishes(Submit(keyed_, hasty));
+  dispatch_request short_deadline_request = Request(99);
+  short_deadline_request.deadline = At(20);
+  const auto finishes = Finishes(Submit(keyed_, short_deadline_request));
   ASSERT_EQ(finishes.size(), 1U);
   EXPECT_EQ(finishes[0].reason, finish_reason::kTooLate);
   EXPECT_EQ(finishes[0].outcome, dispatch_outcome::kNotRun);
@@ -90,22 +91,24 @@
 
 TEST_F(DispatcherTest, FullQueueOfOneOrganisationRefusesOnlyThatOne) {
   FillOwner();
-  std::vector<dispatch_decision> last;
+  std::vector<dispatch_decision> decisions;
   for (uint64_t id = 10; id < 300; ++id) {
-    dispatch_request patient = Request(id);
-    patient.deadline = At(60'000);
-    last = Submit(keyed_, patient);
+    dispatch_request long_deadline_request = Request(id);
+    long_deadline_request.deadline = At(60'000);
+    decisions = Submit(keyed_, long_deadline_request);
   }
-  ASSERT_EQ(Finishes(last).size(), 1U);
-  EXPECT_EQ(Finishes(last)[0].reason, finish_reason::kQueueFull);
+  ASSERT_EQ(Finishes(decisions).size(), 1U);
+  EXPECT_EQ(Finishes(decisions)[0].reason, finish_reason::kQueueFull);
   dispatch_request other = Request(999);
   other.organisation = 1;
   EXPECT_TRUE(Finishes(Submit(keyed_, other)).empty());
 }
 
-// The connection breaks while a target places a fabrication order. Whether
-// it was placed is not known; sent again, a second set of letters is cut.
-TEST_F(DispatcherTest, BrokenAtMostOnceRequestIsUnknownAndNotRepeated) {
+// The connection breaks while a target runs a request that must run at most
+// once, such as placing an order. Whether the order was placed is unknown;
+// resending the request could place a second one.
+TEST_F(DispatcherTest,
+       NonRepeatableRequestOnBrokenConnectionIsUnknownAndNotRetried) {
   const auto first = Starts(Submit(pooled_, Request(1)));
   const auto out =
       End(pooled_, first.at(0).attempt_id, attempt_end::kBroken, 11);
@@ -114,9 +117,9 @@
   EXPECT_TRUE(Starts(out).empty());
 }
 
-// A lookup times out at a target that is otherwise fine and has the least to
-// do. Repeated there, it would most likely meet the same trouble.
-TEST_F(DispatcherTest, RepeatedLookupStartsOnAnotherTarget) {
+// A repeatable request times out at the least loaded target. A retry on the
+// same target would probably fail in the same way.
+TEST_F(DispatcherTest, RetryAfterTimeoutStartsOnAnotherTarget) {
   dispatch_request lookup = Request(1);
   lookup.repeatable = true;
   const auto first = Starts(Submit(pooled_, lookup)).at(0);
@@ -128,7 +131,7 @@
   EXPECT_NE(Starts(out)[0].target, first.target);
 }
 
-TEST_F(DispatcherTest, RefusedRequestStartsOnAnotherTarget) {
+TEST_F(DispatcherTest, RetryAfterRefusalStartsOnAnotherTarget) {
   const auto first = Starts(Submit(pooled_, Request(1)));
   const auto out =
       End(pooled_, first.at(0).attempt_id, attempt_end::kNotStarted, 11);
@@ -136,53 +139,57 @@
   EXPECT_NE(Starts(out)[0].target, first[0].target);
 }
 
-// An owner refuses everything as stale. Retries on top of the first attempts
-// would add to the load of a target that is busy taking over.
-TEST_F(DispatcherTest, RetriesStayWithinTheBudget) {
-  std::vector<start_attempt> starts;
+// An owner refuses all requests because it does not own their keys yet. Retries
+// without a limit would add load to a target that is taking over its keys.
+TEST_F(DispatcherTest, RetriesStayWithinBudget) {
+  std::vector<start_attempt> pending_starts;
   for (uint64_t id = 1; id <= 400; ++id) {
     const auto now = static_cast<int64_t>(id);
-    auto begun = Starts(Submit(keyed_, Request(id), now));
-    starts.insert(starts.end(), begun.begin(), begun.end());
-    begun = Starts(Tick(keyed_, now));
-    starts.insert(starts.end(), begun.begin(), begun.end());
-    while (!starts.empty()) {
-      const uint64_t attempt = starts.back().attempt_id;
-      starts.pop_back();
+    auto new_starts = Starts(Submit(keyed_, Request(id), now));
+    pending_starts.insert(pending_starts.end(), new_starts.begin(),
+                          new_starts.end());
+    new_starts = Starts(Tick(keyed_, now));
+    pending_starts.insert(pending_starts.end(), new_starts.begin(),
+                          new_starts.end());
+    while (!pending_starts.empty()) {
+      const uint64_t attempt = pending_starts.back().attempt_id;
+      pending_starts.pop_back();
       const auto out = End(keyed_, attempt, attempt_end::kRefusedOwner, now);
-      const auto more = Starts(out);
-      starts.insert(starts.end(), more.begin(), more.end());
+      const auto retry_starts = Starts(out);
+      pending_starts.insert(pending_starts.end(), retry_starts.begin(),
+                            retry_starts.end());
     }
   }
   const dispatch_counters& counters = keyed_.Counters();
-  const double allowed = 10 + 0.1 * static_cast<double>(counters.first_starts);
+  const double max_retries =
+      10 + 0.1 * static_cast<double>(counters.first_starts);
   EXPECT_GT(counters.retries, 10U);
-  EXPECT_LE(static_cast<double>(counters.retries), allowed);
+  EXPECT_LE(static_cast<double>(counters.retries), max_retries);
 }
 
-// A request crashes the target that runs it, and its caller sends it again.
-// Unchecked, it would take one target after the other down.
-TEST_F(DispatcherTest, CrashingContentIsRefusedAfterTwoTargets) {
-  int lost = 0;
+// A request crashes the target that runs it, and its caller resends it. Without
+// a limit, it would crash one target after another.
+TEST_F(DispatcherTest, CrashingContentIsRefusedAfterTwoLostTargets) {
+  int lost_targets = 0;
   for (uint64_t id = 1; id <= 10; ++id) {
-    dispatch_request poison = Request(id);
-    poison.content_hash = 666;
-    poison.repeatable = true;
+    dispatch_request crashing_request = Request(id);
+    crashing_request.content_hash = 666;
+    crashing_request.repeatable = true;
     const int64_t now = static_cast<int64_t>(id) * 100;
-    for (const auto& start : Starts(Submit(pooled_, poison, now))) {
-      lost++;
+    for (const auto& start : Starts(Submit(pooled_, crashing_request, now))) {
+      lost_targets++;
       EXPECT_TRUE(
           Starts(End(pooled_, start.attempt_id, attempt_end::kBroken, now + 1))
               .empty());
     }
   }
-  EXPECT_EQ(lost, poison_guard::kQuarantineCrashes);
+  EXPECT_EQ(lost_targets, poison_guard::kQuarantineCrashes);
   EXPECT_EQ(pooled_.ExportPoison(At(1000)).size(), 1U);
 }
 
-// A lookup ran beside a crashing request twice, but was answered in between.
-// Nobody may be refused for having been a neighbour.
-TEST_F(DispatcherTest, ContentThatWasAnsweredIsNotHeldAgainst) {
+// A harmless request is running on a target whenever another request crashes
+// it, but is answered in between. It must not be refused as the cause.
+TEST_F(DispatcherTest, ContentAnsweredBetweenCrashesIsNotRefused) {
   for (uint64_t id = 1; id <= 6; ++id) {
     dispatch_request lookup = Request(id);
     lookup.content_hash = 77;
@@ -196,42 +203,43 @@
   }
 }
 
-// A target freezes with its connections open. It neither answers nor fails;
-// callers notice only that their lookups take until the deadline.
-TEST_F(DispatcherTest, SilentTargetIsSuspectedAndItsLookupRunsElsewhere) {
+// A target freezes with its connections open: it neither answers nor fails.
+// Without detection, its requests wait until their deadline.
+TEST_F(DispatcherTest, SilentTargetIsSuspectedAndItsRequestRunsElsewhere) {
   dispatch_request lookup = Request(1);
   lookup.repeatable = true;
-  const auto stuck = Starts(Submit(pooled_, lookup));
+  const auto silent_starts = Starts(Submit(pooled_, lookup));
   std::vector<dispatch_decision> out;
   for (uint64_t id = 2; id < 60 && All<target_suspected>(out).empty(); ++id) {
     const auto now = static_cast<int64_t>(10 + id * 2);
     for (const auto& start : Starts(Submit(pooled_, Request(id), now))) {
-      if (start.target != stuck.at(0).target) {
+      if (start.target != silent_starts.at(0).target) {
         End(pooled_, start.attempt_id, attempt_end::kAnswered, now + 2);
       }
     }
     out = Tick(pooled_, now + 2);
   }
   ASSERT_EQ(All<target_suspected>(out).size(), 1U);
-  EXPECT_EQ(All<target_suspected>(out)[0].target, stuck.at(0).target);
+  EXPECT_EQ(All<target_suspected>(out)[0].target, silent_starts.at(0).target);
   ASSERT_FALSE(Starts(out).empty());
   EXPECT_EQ(Starts(out)[0].request_id, 1U);
-  EXPECT_NE(Starts(out)[0].target, stuck[0].target);
+  EXPECT_NE(Starts(out)[0].target, silent_starts[0].target);
 }
 
-// A frozen target is tried again after a while and is still frozen. The
-// lookup that tried it must not wait there until its deadline.
-TEST_F(DispatcherTest, LookupThatProbesAFrozenTargetRunsElsewhere) {
+// The dispatcher probes a frozen target with a request after a while, and the
+// target is still frozen. The request must not wait there until its deadline.
+TEST_F(DispatcherTest, RequestThatProbesFrozenTargetRunsElsewhere) {
   constexpr target_index kFrozen = 0;
   for (int64_t now = 10; now < 6000; now += 2) {
     dispatch_request lookup = Request(static_cast<uint64_t>(now));
     lookup.repeatable = true;
     lookup.deadline = At(now + 1500);
     auto out = Submit(pooled_, lookup, now);
-    const auto ticked = Tick(pooled_, now + 1);
-    out.insert(out.end(), ticked.begin(), ticked.end());
+    const auto tick_decisions = Tick(pooled_, now + 1);
+    out.insert(out.end(), tick_decisions.begin(), tick_decisions.end());
     for (const finish_request& finish : Finishes(out)) {
-      ADD_FAILURE() << "gave up " << finish.request_id << " at " << now;
+      ADD_FAILURE() << "request " << finish.request_id
+                    << " finished without an answer at " << now << " ms";
     }
     for (const cancel_attempt& cancel : All<cancel_attempt>(out)) {
       End(pooled_, cancel.attempt_id, attempt_end::kCancelled, now + 1);
@@ -245,9 +253,9 @@
   EXPECT_TRUE(pooled_.Target(kFrozen).suspected);
 }
 
-// Most targets seem to fail at once, for instance because the network
-// flickers. Leaving them all out would turn that into an outage.
-TEST_F(DispatcherTest, AtMostAThirdOfTheTargetsIsEjected) {
+// All targets seem to fail at once, for instance because of a short network
+// fault. Ejecting all of them would turn that into an outage.
+TEST_F(DispatcherTest, AtMostOneThirdOfTargetsIsEjected) {
   for (uint64_t id = 1; id <= 200; ++id) {
     for (const auto& start :
          Starts(Submit(pooled_, Request(id), static_cast<int>(id)))) {
@@ -263,32 +271,34 @@
   EXPECT_EQ(ejected, 1);
 }
 
-// A target refuses everything and never answers while its health endpoint
-// says that all is well. Its keys are unavailable until they move.
+// A target refuses all requests while its health endpoint reports it as
+// healthy. Its keys are unavailable until they move to another target.
 TEST_F(DispatcherTest, TargetThatOnlyRefusesIsSuspected) {
-  std::vector<dispatch_decision> seen;
+  std::vector<dispatch_decision> decisions;
   int64_t now = 10;
-  for (; now < 1000 && All<target_suspected>(seen).empty(); now += 10) {
+  for (; now < 1000 && All<target_suspected>(decisions).empty(); now += 10) {
     auto out = Submit(keyed_, Request(static_cast<uint64_t>(now)), now);
-    const auto ticked = Tick(keyed_, now);
-    out.insert(out.end(), ticked.begin(), ticked.end());
+    const auto tick_decisions = Tick(keyed_, now);
+    out.insert(out.end(), tick_decisions.begin(), tick_decisions.end());
     for (const start_attempt& start : Starts(out)) {
-      const auto ended =
+      const auto end_decisions =
           End(keyed_, start.attempt_id, attempt_end::kNotStarted, now);
-      seen.insert(seen.end(), ended.begin(), ended.end());
+      decisions.insert(decisions.end(), end_decisions.begin(),
+                       end_decisions.end());
     }
   }
-  EXPECT_EQ(All<target_suspected>(seen).size(), 1U);
+  EXPECT_EQ(All<target_suspected>(decisions).size(), 1U);
   EXPECT_LT(now, 500);
 }
 
-// Far more urgent lookups come than fit. If all that can still meet their
-// deadline wait, every surveyor waits for nearly the whole deadline.
-TEST_F(DispatcherTest, StandingQueueOfUrgentRequestsIsKeptShort) {
+// Urgent requests arrive faster than they can be served. If every request that
+// could still meet its deadline were queued, each one would wait for almost its
+// whole deadline.
+TEST_F(DispatcherTest, StandingQueueOfUrgentRequestsStaysShort) {
   dispatch_request urgent = Request(0);
   urgent.level = urgency::kUrgent;
   std::vector<uint64_t> running;
-  int queued_at_most = 0;
+  int max_waiting = 0;
   for (int64_t now = 10; now < 600; ++now) {
     urgent.deadline = At(now + 2000);
     auto out = End(keyed_, running.empty() ? 0 : running.front(),
@@ -302,11 +312,11 @@
       running.push_back(start.attempt_id);
     }
     if (now > 500) {
-      queued_at_most = std::max(queued_at_most, keyed_.Waiting());
+      max_waiting = std::max(max_waiting, keyed_.Waiting());
     }
   }
-  EXPECT_GT(queued_at_most, 0);
-  EXPECT_LE(queued_at_most, 100);
+  EXPECT_GT(max_waiting, 0);
+  EXPECT_LE(max_waiting, 100);
 }
 
 TEST_F(DispatcherTest, NewlyUsableTargetStartsWithOneSlot) {
@@ -317,9 +327,9 @@
   EXPECT_EQ(Starts(Submit(keyed_, Request(2), 50)).size(), 0U);
 }
 
-// A target leaves and its bucket has no owner for a moment. Requests for it
-// wait for the next owner instead of failing.
-TEST_F(DispatcherTest, RequestWithoutOwnerStartsWhenTheBucketGetsOne) {
+// A target leaves and its bucket has no owner for a short time. Requests for
+// the bucket wait for the next owner instead of failing.
+TEST_F(DispatcherTest, RequestWithoutOwnerStartsWhenBucketGetsOwner) {
   keyed_.SetOwner(0, kNoTarget);
   EXPECT_TRUE(Submit(keyed_, Request(1)).empty());
   keyed_.SetOwner(0, 1);
@@ -328,18 +338,18 @@
   EXPECT_EQ(Starts(out)[0].target, 1);
 }
 
-TEST_F(DispatcherTest, RequestWithoutOwnerIsFinishedWhenNoneComes) {
+TEST_F(DispatcherTest, RequestWithoutOwnerFinishesAfterOwnerTimeout) {
   keyed_.SetOwner(0, kNoTarget);
-  dispatch_request patient = Request(1);
-  patient.deadline = At(30'000);
-  Submit(keyed_, patient);
+  dispatch_request long_deadline_request = Request(1);
+  long_deadline_request.deadline = At(30'000);
+  Submit(keyed_, long_deadline_request);
   const auto finishes = Finishes(Tick(keyed_, 1600));
   ASSERT_EQ(finishes.size(), 1U);
   EXPECT_EQ(finishes[0].reason, finish_reason::kNoOwner);
   EXPECT_EQ(finishes[0].outcome, dispatch_outcome::kNotRun);
 }
 
-TEST_F(DispatcherTest, QueuedRequestFollowsItsBucketToTheNewOwner) {
+TEST_F(DispatcherTest, QueuedRequestMovesToNewOwnerOfItsBucket) {
   FillOwner();
   Submit(keyed_, Request(4));
   keyed_.SetOwner(0, 1);
@@ -348,8 +358,9 @@
   EXPECT_EQ(Starts(out)[0].target, 1);
 }
 
-// A host was paused and has lost its range to another one. Whatever it still
-// starts could run beside the new steward's work.
+// A host was paused, and another host became the steward of its range. Requests
+// that the paused host still started could run concurrently with those of the
+// new steward.
 TEST_F(DispatcherTest, SuspendedDispatcherStartsNothing) {
   const std::vector<uint64_t> attempts = FillOwner();
   Submit(keyed_, Request(4));
@@ -357,7 +368,7 @@
   keyed_.Suspend(At(11), out);
   ASSERT_EQ(Finishes(out).size(), 1U);
   EXPECT_EQ(Finishes(out)[0].reason, finish_reason::kNoAuthority);
-  // One that a target refuses now is not tried again either.
+  // A request that a target refuses now is not retried either.
   const auto refused = End(keyed_, attempts[0], attempt_end::kNotStarted, 12);
   EXPECT_TRUE(Starts(refused).empty());
   ASSERT_EQ(Finishes(refused).size(), 1U);
@@ -365,15 +376,15 @@
   EXPECT_TRUE(Starts(Submit(keyed_, Request(5), 12)).empty());
 }
 
-TEST_F(DispatcherTest, AttemptNeverRunsPastTheAuthority) {
+TEST_F(DispatcherTest, AttemptDoesNotRunPastEndOfAuthority) {
   keyed_.SetAuthority(At(500));
   EXPECT_EQ(Starts(Submit(keyed_, Request(1))).at(0).deadline, At(500));
   EXPECT_TRUE(Starts(Submit(keyed_, Request(2), 500)).empty());
 }
 
-// An answer arrives just after its request was given up. It must not reach
-// anybody; the caller was told that the outcome is unknown.
-TEST_F(DispatcherTest, LateAnswerOfAnExpiredRequestIsDropped) {
+// An answer arrives just after its request expired. It must be dropped, because
+// the caller already got the outcome kUnknown.
+TEST_F(DispatcherTest, LateAnswerToExpiredRequestIsDropped) {
   const auto start = Starts(Submit(keyed_, Request(1))).at(0);
   const auto out = Tick(keyed_, 2000);
   ASSERT_EQ(Finishes(out).size(), 1U);
