--- a/tests/support/assigner_world.cc
+++ b/tests/support/assigner_world.cc
@@ -10,10 +10,10 @@
 using std::chrono::seconds;
 
 constexpr duration kStep{milliseconds{10}};
-constexpr duration kStoreTime{milliseconds{4}};
-constexpr duration kOrderTime{milliseconds{3}};
-/// An entry lapses after so much silence of its target.
-constexpr duration kEntryLife{milliseconds{2600}};
+constexpr duration kStoreLatency{milliseconds{4}};
+constexpr duration kOrderLatency{milliseconds{3}};
+/// The store drops a target's entry when its reports stop for this long.
+constexpr duration kEntryTtl{milliseconds{2600}};
 constexpr std::string_view kService = "keyed";
 constexpr std::string_view kOtherService = "pooled";
 
@@ -104,20 +104,20 @@
 
 void assigner_world::Step() {
   now_ += kStep;
-  std::vector<delivery> due;
-  for (auto each = deliveries_.begin(); each != deliveries_.end();) {
-    if (each->at <= now_) {
-      due.push_back(std::move(*each));
-      each = deliveries_.erase(each);
+  std::vector<delivery> due_callbacks;
+  for (auto it = deliveries_.begin(); it != deliveries_.end();) {
+    if (it->at <= now_) {
+      due_callbacks.push_back(std::move(*it));
+      it = deliveries_.erase(it);
     } else {
-      ++each;
+      ++it;
     }
   }
   std::stable_sort(
-      due.begin(), due.end(),
+      due_callbacks.begin(), due_callbacks.end(),
       [](const delivery& a, const delivery& b) { return a.at < b.at; });
-  for (const delivery& each : due) {
-    each.run();
+  for (const delivery& scheduled : due_callbacks) {
+    scheduled.run();
   }
   for (size_t i = 0; i < hosts_.size(); ++i) {
     if (hosts_[i].alive && now_ >= hosts_[i].frozen_until) {
@@ -140,9 +140,9 @@
     } else if (!target.silent_since) {
       target.silent_since = now_;
     }
-    const bool lapsed =
-        target.silent_since && now_ - *target.silent_since > kEntryLife;
-    if (!lapsed) {
+    const bool expired =
+        target.silent_since && now_ - *target.silent_since > kEntryTtl;
+    if (!expired) {
       listed.push_back(target.entry);
     }
   }
@@ -151,14 +151,14 @@
 
 void assigner_world::StepHost(size_t index) {
   world_host& host = hosts_[index];
-  const bool answers = ReachesStore(host);
-  host.assigner->OnStoreAnswers(answers, now_);
+  const bool store_reachable = ReachesStore(host);
+  host.assigner->OnStoreAnswers(store_reachable, now_);
   const std::vector<target_entry> listed = Listed();
-  if (answers && host.lists_targets) {
+  if (store_reachable && host.lists_targets) {
     host.assigner->OnTargets(listed, false, now_);
     host.assigner->OnEvacuations(evacuated_zones, now_);
   }
-  if (answers) {
+  if (store_reachable) {
     if (host.seen_revision < revision_) {
       host.seen_revision = revision_;
       key_assigner::own_objects objects;
@@ -166,8 +166,9 @@
         objects[name] = {
             .name = name, .revision = object.revision, .item = object.content};
       }
-      if (const status read = host.assigner->OnObjects(objects, now_); !read) {
-        Fail(read.error().Message());
+      if (const status accepted = host.assigner->OnObjects(objects, now_);
+          !accepted) {
+        Fail(accepted.error().Message());
       }
     }
   }
@@ -209,8 +210,8 @@
     } else if (const auto* order = std::get_if<key_order>(&action)) {
       CarryOrder(index, *order);
     } else if (const auto* heartbeat = std::get_if<heartbeat_action>(&action)) {
-      Send(hosts_[index], heartbeat->hops, [&](key_assigner& to) {
-        to.OnHeartbeat(heartbeat->heartbeat, now_);
+      Send(hosts_[index], heartbeat->hops, [&](key_assigner& receiver) {
+        receiver.OnHeartbeat(heartbeat->heartbeat, now_);
       });
     } else if (options_.datagrams) {
       CarryDatagram(index, action);
@@ -221,14 +222,14 @@
 void assigner_world::CarryDatagram(size_t index,
                                    const assigner_action& action) {
   if (const auto* share = std::get_if<share_action>(&action)) {
-    Send(hosts_[index], share->hops, [&](key_assigner& to) {
-      if (const status taken = to.OnOwners(share->record); !taken) {
-        Fail(taken.error().Message());
+    Send(hosts_[index], share->hops, [&](key_assigner& receiver) {
+      if (const status accepted = receiver.OnOwners(share->record); !accepted) {
+        Fail(accepted.error().Message());
       }
     });
-  } else if (const auto* known = std::get_if<hosts_action>(&action)) {
-    if (world_host* to = Reach(hosts_[index], known->address)) {
-      to->assigner->OnHosts(known->record, now_);
+  } else if (const auto* host_list = std::get_if<hosts_action>(&action)) {
+    if (world_host* receiver = Reach(hosts_[index], host_list->address)) {
+      receiver->assigner->OnHosts(host_list->record, now_);
     }
   }
 }
@@ -237,14 +238,14 @@
                           const std::vector<fanout_hop>& hops,
                           const std::function<void(key_assigner&)>& deliver) {
   for (const fanout_hop& hop : hops) {
-    world_host* first = Reach(from, hop.address);
-    if (first == nullptr) {
+    world_host* relay = Reach(from, hop.address);
+    if (relay == nullptr) {
       continue;
     }
-    deliver(*first->assigner);
+    deliver(*relay->assigner);
     for (const std::string& address : hop.forward_to) {
-      if (world_host* next = Reach(*first, address)) {
-        deliver(*next->assigner);
+      if (world_host* receiver = Reach(*relay, address)) {
+        deliver(*receiver->assigner);
       }
     }
   }
@@ -259,8 +260,8 @@
             .revision = current,
             .content = found == objects_.end() ? "" : found->second.content};
   }
-  Note(write.name + " written as " + std::to_string(revision_ + 1) + ": " +
-       write.content.substr(0, 3000));
+  Note("store write of " + write.name + " at revision " +
+       std::to_string(revision_ + 1) + ": " + write.content.substr(0, 3000));
   objects_[write.name] = {++revision_, write.content};
   return {.id = write.id,
           .end = write_end::kWritten,
@@ -270,9 +271,10 @@
 
 void assigner_world::CarryWrite(size_t index, const store_write& write) {
   world_host& host = hosts_[index];
-  const uint64_t life = host.life;
-  const auto answer = [this, index, life](const write_report& report) {
-    if (!hosts_[index].alive || hosts_[index].life != life) {
+  const uint64_t incarnation = host.life;
+  const auto report_end = [this, index,
+                           incarnation](const write_report& report) {
+    if (!hosts_[index].alive || hosts_[index].life != incarnation) {
       return;
     }
     assigner_actions actions;
@@ -280,39 +282,40 @@
     Carry(index, actions);
   };
   if (!ReachesStore(host)) {
-    Later(milliseconds{300}, [answer, id = write.id] {
-      answer({.id = id, .end = write_end::kUnknown});
+    Later(milliseconds{300}, [report_end, id = write.id] {
+      report_end({.id = id, .end = write_end::kUnknown});
     });
     return;
   }
-  const bool late = Chance(late_writes);
-  const bool lost = late || Chance(lost_writes);
+  const bool is_late = Chance(late_writes);
+  const bool answer_lost = is_late || Chance(lost_writes);
   const duration delay =
-      late ? duration{seconds{1 + random_() % 5}} : kStoreTime;
-  Later(delay, [this, write, lost, answer] {
+      is_late ? duration{seconds{1 + random_() % 5}} : kStoreLatency;
+  Later(delay, [this, write, answer_lost, report_end] {
     const write_report report = Apply(write);
-    if (!lost) {
-      answer(report);
+    if (!answer_lost) {
+      report_end(report);
     }
   });
-  if (lost) {
-    Later(milliseconds{800}, [answer, id = write.id] {
-      answer({.id = id, .end = write_end::kUnknown});
+  if (answer_lost) {
+    Later(milliseconds{800}, [report_end, id = write.id] {
+      report_end({.id = id, .end = write_end::kUnknown});
     });
   }
 }
 
 world_target& assigner_world::TargetAt(const std::string& address) {
-  const auto listens = [&](const world_target& target) {
+  const auto is_live_at_address = [&](const world_target& target) {
     return target.alive && target.entry.address == address;
   };
-  const auto had = [&](const world_target& target) {
+  const auto has_address = [&](const world_target& target) {
     return target.entry.address == address;
   };
-  const auto live = std::find_if(targets_.begin(), targets_.end(), listens);
+  const auto live =
+      std::find_if(targets_.begin(), targets_.end(), is_live_at_address);
   return live != targets_.end()
              ? *live
-             : *std::find_if(targets_.begin(), targets_.end(), had);
+             : *std::find_if(targets_.begin(), targets_.end(), has_address);
 }
 
 order_report assigner_world::ApplyOrder(const key_order& order,
@@ -324,18 +327,18 @@
        std::to_string(order.first) + "-" + std::to_string(order.last) +
        " fence " + std::to_string(order.fence) + " order " +
        std::to_string(order.id));
-  const auto in_order = [&](size_t i) {
+  const auto is_in_order_range = [&](size_t i) {
     return order.first <= WatchedKey(i) && WatchedKey(i) <= order.last;
   };
   for (size_t i = 0; i < kWatchedKeys; ++i) {
-    if (order.grant && in_order(i) && target.seen[i] > order.fence &&
+    if (order.grant && is_in_order_range(i) && target.seen[i] > order.fence &&
         !options_.targets_ignore_fences) {
       report.end = order_end::kFenced;
       return report;
     }
   }
   for (size_t i = 0; i < kWatchedKeys; ++i) {
-    if (!in_order(i)) {
+    if (!is_in_order_range(i)) {
       continue;
     }
     if (!order.grant) {
@@ -347,18 +350,19 @@
     }
     target.seen[i] = std::max(target.seen[i], order.fence);
     if (arrived + order.hold <= now_) {
-      continue;  // Its time, which counts from its arrival, is over.
+      continue;  // The grant has expired; it is valid from its arrival.
     }
-    const bool others = highest_of_[i].id != target.entry.life.id;
-    if (others && order.fence <= highest_[i]) {
+    const bool owner_changes = highest_of_[i].id != target.entry.life.id;
+    if (owner_changes && order.fence <= highest_[i]) {
       Fail("key " + std::to_string(WatchedKey(i)) + ": " +
-           target.entry.life.id + " takes it with fence " +
-           std::to_string(order.fence) + ", not above " +
-           std::to_string(highest_[i]) + "; arrived " +
+           target.entry.life.id + " accepted a grant with fence " +
+           std::to_string(order.fence) +
+           ", which is not above the highest fence " +
+           std::to_string(highest_[i]) + "; the grant arrived " +
            std::to_string(
                std::chrono::duration_cast<milliseconds>(now_ - arrived)
                    .count()) +
-           " ms before");
+           " ms earlier");
     }
     if (order.fence >= highest_[i]) {
       highest_[i] = order.fence;
@@ -382,28 +386,28 @@
 
 void assigner_world::CarryOrder(size_t index, const key_order& order) {
   world_host& host = hosts_[index];
-  const uint64_t life = host.life;
+  const uint64_t incarnation = host.life;
   const world_target& target = TargetAt(order.address);
-  const std::string process =
+  const std::string process_key =
       target.entry.life.id + "@" + std::to_string(target.entry.life.started);
-  uint64_t& connection = host.connection_of[process];
+  uint64_t& connection = host.connection_of[process_key];
   if (order.newest_connection != 0 &&
       (connection == 0 || connection > order.newest_connection)) {
-    Later(kOrderTime, [this, index, life, id = order.id] {
-      Report(index, life, {.id = id, .end = order_end::kNotSent});
+    Later(kOrderLatency, [this, index, incarnation, id = order.id] {
+      Report(index, incarnation, {.id = id, .end = order_end::kNotSent});
     });
     return;
   }
-  const bool reached = target.alive &&
-                       !target.unreachable_from.contains(host.name) &&
-                       !IsCut(host.zone, target.entry.zone);
-  if (!reached) {
+  const bool reachable = target.alive &&
+                         !target.unreachable_from.contains(host.name) &&
+                         !IsCut(host.zone, target.entry.zone);
+  if (!reachable) {
     const order_end end = connection == 0 || target.alive
                               ? order_end::kNotSent
                               : order_end::kNoProcess;
     connection = 0;
-    Later(milliseconds{250}, [this, index, life, id = order.id, end] {
-      Report(index, life, {.id = id, .end = end});
+    Later(milliseconds{250}, [this, index, incarnation, id = order.id, end] {
+      Report(index, incarnation, {.id = id, .end = end});
     });
     return;
   }
@@ -411,84 +415,88 @@
     connection = ++host.connections;
   }
   if (Chance(late_orders)) {
-    // It arrived, and is carried out later without an answer.
+    // The order arrives now and is executed later, without an answer.
     const time_point arrived = now_;
     const uint64_t started = target.entry.life.started;
-    const size_t at = static_cast<size_t>(&target - targets_.data());
-    Later(seconds{2 + random_() % 8}, [this, order, arrived, at, started] {
-      if (targets_[at].alive && targets_[at].entry.life.started == started) {
-        ApplyOrder(order, arrived);
-      }
-    });
-    Later(milliseconds{500}, [this, index, life, id = order.id] {
-      Report(index, life, {.id = id, .end = order_end::kUnanswered});
+    const size_t target_index = static_cast<size_t>(&target - targets_.data());
+    Later(seconds{2 + random_() % 8},
+          [this, order, arrived, target_index, started] {
+            if (targets_[target_index].alive &&
+                targets_[target_index].entry.life.started == started) {
+              ApplyOrder(order, arrived);
+            }
+          });
+    Later(milliseconds{500}, [this, index, incarnation, id = order.id] {
+      Report(index, incarnation, {.id = id, .end = order_end::kUnanswered});
     });
     return;
   }
   if (target.unheard_by.contains(host.name)) {
     connection = 0;
-    Later(kOrderTime, [this, order] { ApplyOrder(order, now_); });
-    Later(milliseconds{500}, [this, index, life, id = order.id] {
-      Report(index, life, {.id = id, .end = order_end::kUnanswered});
+    Later(kOrderLatency, [this, order] { ApplyOrder(order, now_); });
+    Later(milliseconds{500}, [this, index, incarnation, id = order.id] {
+      Report(index, incarnation, {.id = id, .end = order_end::kUnanswered});
     });
     return;
   }
   if (target.rejects || target.entry.life.id != order.target.id) {
-    Later(kOrderTime, [this, index, life, id = order.id] {
-      Report(index, life, {.id = id, .end = order_end::kRejected});
+    Later(kOrderLatency, [this, index, incarnation, id = order.id] {
+      Report(index, incarnation, {.id = id, .end = order_end::kRejected});
     });
     return;
   }
-  Later(kOrderTime, [this, index, life, order, used = connection] {
-    order_report report = ApplyOrder(order, now_);
-    report.connection = used;
-    Report(index, life, report);
-  });
+  Later(kOrderLatency,
+        [this, index, incarnation, order, used_connection = connection] {
+          order_report report = ApplyOrder(order, now_);
+          report.connection = used_connection;
+          Report(index, incarnation, report);
+        });
 }
 
 void assigner_world::CheckHolds() {
   for (size_t i = 0; i < kWatchedKeys; ++i) {
-    const world_target* holder = nullptr;
+    const world_target* owner = nullptr;
     for (const world_target& target : targets_) {
-      const bool holds =
+      const bool holds_key =
           target.alive && target.holds[i] && target.holds[i]->until > now_;
-      if (holds && holder != nullptr) {
+      if (holds_key && owner != nullptr) {
         Fail("key " + std::to_string(WatchedKey(i)) + " is held by " +
-             holder->entry.life.id + " and " + target.entry.life.id);
+             owner->entry.life.id + " and " + target.entry.life.id);
       }
-      if (holds) {
-        holder = &target;
+      if (holds_key) {
+        owner = &target;
       }
     }
   }
 }
 
 void assigner_world::Note(std::string what) {
-  constexpr size_t kKept = 60;
+  constexpr size_t kMaxHistoryLines = 60;
   if (!problem_.empty()) {
     return;
   }
-  const auto passed = std::chrono::duration_cast<milliseconds>(
+  const auto elapsed = std::chrono::duration_cast<milliseconds>(
       now_.time_since_epoch() - seconds{1000});
-  history_.push_back(std::to_string(passed.count()) + " ms " + std::move(what));
-  if (history_.size() > kKept) {
+  history_.push_back(std::to_string(elapsed.count()) + " ms " +
+                     std::move(what));
+  if (history_.size() > kMaxHistoryLines) {
     history_.pop_front();
   }
 }
 
 std::string assigner_world::History() const {
-  std::string all;
+  std::string history;
   for (const std::string& line : history_) {
-    all += line + "\n";
+    history += line + "\n";
   }
-  return all;
+  return history;
 }
 
 void assigner_world::Fail(const std::string& problem) {
   if (problem_.empty()) {
-    const auto passed = std::chrono::duration_cast<milliseconds>(
+    const auto elapsed = std::chrono::duration_cast<milliseconds>(
         now_.time_since_epoch() - seconds{1000});
-    problem_ = "after " + std::to_string(passed.count()) + " ms: " + problem;
+    problem_ = "after " + std::to_string(elapsed.count()) + " ms: " + problem;
   }
 }
 
--- a/tests/support/assigner_world.h
+++ b/tests/support/assigner_world.h
@@ -2,8 +2,8 @@
 #define FOXTAILSPREAD_TESTS_SUPPORT_ASSIGNER_WORLD_H_
 
 /// @file
-/// Hosts with a key_assigner each, a store and targets in virtual time, for
-/// tests of who owns which keys under faults.
+/// Simulates hosts with a key_assigner each, a store and targets in virtual
+/// time, for tests of key ownership under faults.
 
 #include <array>
 #include <deque>
@@ -20,17 +20,18 @@
 
 namespace foxtailspread::testing {
 
-/// Keys whose owners are watched; one every thousandth part of the space.
+/// Number of keys whose ownership is checked, spaced evenly over the key space.
 inline constexpr size_t kWatchedKeys = 128;
 
-/// The key that stands for watched key `index`.
+/// The key point of watched key `index`.
 constexpr key_point WatchedKey(size_t index) {
   return static_cast<key_point>(index *
                                 ((size_t{kLastKey} + 1) / kWatchedKeys));
 }
 
-/// A target that takes fenced grants.
+/// A simulated target, which accepts grants with fence numbers.
 struct world_target {
+  /// A grant that the target accepted for one watched key.
   struct hold {
     fence_number fence = 0;
     time_point until{};
@@ -39,33 +40,41 @@
   target_entry entry;
   bool alive = true;
   bool reaches_store = true;
-  bool rejects = false;  ///< Another process answers at its address.
-  std::set<std::string> unreachable_from{};  ///< Hosts that cannot reach it.
-  /// Hosts whose orders arrive while the answers do not get back.
+  bool rejects = false;  ///< Another process at its address rejects orders.
+  /// Names of hosts that cannot connect to it.
+  std::set<std::string> unreachable_from{};
+  /// Names of hosts whose orders arrive but which do not receive the answers.
   std::set<std::string> unheard_by{};
+  /// The highest fence that the target has seen, by watched key.
   std::array<fence_number, kWatchedKeys> seen{};
-  std::array<std::optional<hold>, kWatchedKeys> holds{};
+  std::array<std::optional<hold>, kWatchedKeys> holds{};  ///< By watched key.
+  /// When its reports to the store stopped; empty while they arrive.
   std::optional<time_point> silent_since{};
 };
 
-/// One host. Its assigner is made anew when its process starts again.
+/// A simulated host. A restart of its process creates a new assigner.
 struct world_host {
   std::string name;
   std::string zone;
   std::unique_ptr<key_assigner> assigner;
   bool alive = true;
   bool reaches_store = true;
-  bool lists_targets = true;  ///< Its copy of their list is kept up to date.
-  std::set<std::string> unreachable_hosts{};
+  bool lists_targets = true;  ///< Whether it gets updates of the target list.
+  std::set<std::string> unreachable_hosts{};  ///< Names, in both directions.
   time_point frozen_until{};
-  time_point report_at{};
-  uint64_t seen_revision = 0;
+  time_point report_at{};      ///< When its next load report is due.
+  uint64_t seen_revision = 0;  ///< The store revision that it last read.
+  /// Changes whenever the process stops or starts, so that answers to an
+  /// earlier process are dropped.
   uint64_t life = 0;
-  uint64_t connections = 0;
-  std::map<std::string, uint64_t> connection_of{};  ///< By target's life.
+  uint64_t connections = 0;  ///< Number of the newest connection to a target.
+  /// Numbers of the open connections by target process, "ID@STARTED"; 0 if
+  /// closed.
+  std::map<std::string, uint64_t> connection_of{};
 };
 
-/// Everything, in steps of ten milliseconds.
+/// Runs the hosts, the store and the targets in steps of 10 ms of virtual time
+/// and checks after each step that no watched key has two owners.
 ///
 /// @code
 /// assigner_world world({.hosts = 3, .targets = 4, .seed = 1});
@@ -80,19 +89,22 @@
     size_t hosts = 4;
     size_t targets = 4;
     uint64_t seed = 1;
-    /// Targets that fail to compare fences: a planted fault that the world's
-    /// checks must find.
+    /// Targets accept grants whatever their fence: an injected fault that the
+    /// ownership checks must detect.
     bool targets_ignore_fences = false;
-    /// Targets that remember the fence of a release only for keys they held.
+    /// Targets remember the fence of a release only for keys that they held.
     bool targets_forget_releases = false;
-    /// Hosts hear of records and of each other by datagram.
+    /// Hosts send each other ownership records and host lists by datagram, in
+    /// addition to heartbeats.
     bool datagrams = false;
-    /// How long targets are cold after their start; they bear any load if 0.
+    /// How long targets are cold after a start; 0 if they can take full load at
+    /// once.
     duration cold_time{};
   };
 
   explicit assigner_world(options chosen);
 
+  /// Advances the virtual time by `time`.
   void Run(duration time);
   time_point now() const { return now_; }
 
@@ -100,47 +112,55 @@
   world_target& target(size_t index) { return targets_[index]; }
   size_t host_count() const { return hosts_.size(); }
   size_t target_count() const { return targets_.size(); }
-  /// The index of the host that holds the lease, if any.
+  /// The index of the live host that holds the lease, if any.
   std::optional<size_t> holder() const;
 
   void AddTarget();
-  void RestartTarget(size_t index);  ///< The same id, a new life.
-  /// Adds a target of another service at the address of `index`.
+  /// Starts a new process of target `index` under the same id.
+  void RestartTarget(size_t index);
+  /// Adds a target of another service at the address of target `index`.
   void ReuseAddress(size_t index);
   void KillHost(size_t index);
   void StartHost(size_t index);
 
   bool store_down = false;
-  /// The zone whose hosts and targets reach only each other; "" if none.
+  /// The zone that is partitioned from the other zones and the store; "" if
+  /// none.
   std::string cut_zone{};
-  /// Zones that are evacuated, as hosts that reach the store learn of them.
+  /// Evacuated zones. Hosts learn of a change while they reach the store and
+  /// get target list updates.
   std::set<std::string> evacuated_zones{};
-  /// Part of the writes whose answer is lost, and of those that are carried
-  /// out seconds later; likewise of orders to targets.
+  /// Probability that the answer to a store write is lost.
   double lost_writes = 0.0;
+  /// Probability that a store write takes effect 1 to 5 s later, without an
+  /// answer.
   double late_writes = 0.0;
+  /// Probability that a target executes an order 2 to 9 s later, without an
+  /// answer.
   double late_orders = 0.0;
 
-  /// What the hosts' assigners said for the log.
+  /// The log notes of all hosts' assigners.
   const std::vector<assigner_note>& notes() const { return notes_; }
 
-  /// What broke first, "" if nothing did: two holders of a key, a fence that
-  /// does not rise.
+  /// The first violation found, "" if none: a key with two owners, a change of
+  /// owner without a higher fence, or a record that an assigner cannot read.
   const std::string& problem() const { return problem_; }
-  /// What was done up to the problem, to trace a seed.
+  /// The last events before the first problem, one a line, to debug a seed.
   std::string History() const;
-  /// Watched keys that no live, listed target holds.
+  /// Number of watched keys that no live target holds.
   size_t UnownedKeys() const;
-  /// Watched keys that `index` holds.
+  /// Number of watched keys that target `index` holds.
   size_t KeysOf(size_t index) const;
-  /// The recorded map.
+  /// The key map of the keyed service in the store, if there is a valid one.
   std::optional<key_map> Recorded() const;
 
  private:
+  /// An object of the store.
   struct stored {
     uint64_t revision = 0;
     std::string content;
   };
+  /// A callback that runs at a later virtual time.
   struct delivery {
     time_point at;
     std::function<void()> run;
@@ -151,29 +171,36 @@
   void StepHost(size_t index);
   void Carry(size_t index, const assigner_actions& actions);
   void CarryDatagram(size_t index, const assigner_action& action);
-  /// The host that gets datagrams at `address`; nullptr if none of `from`
-  /// gets there.
+  /// The host that receives datagrams from `sender` at `address`; nullptr if no
+  /// live host there is reachable.
   world_host* Reach(const world_host& from, const std::string& address);
-  /// Whether a cut stands between two zones.
+  /// Whether a partition separates the two zones.
   bool IsCut(const std::string& from, const std::string& to) const {
     return (from == cut_zone) != (to == cut_zone);
   }
   bool ReachesStore(const world_host& host) const {
     return host.reaches_store && !store_down && host.zone != cut_zone;
   }
-  /// What listens at `address`: a live target, or the first that had it.
+  /// The live target at `address`, or the first one that had it if none is
+  /// live.
   world_target& TargetAt(const std::string& address);
-  /// Runs `deliver` for each host that a datagram over `hops` gets to.
+  /// Calls `deliver` with the assigner of each host that a datagram sent over
+  /// `hops` reaches.
   void Send(const world_host& from, const std::vector<fanout_hop>& hops,
             const std::function<void(key_assigner&)>& deliver);
   void CarryWrite(size_t index, const store_write& write);
   void CarryOrder(size_t index, const key_order& order);
   write_report Apply(const store_write& write);
+  /// Executes `order` at its target. A grant is valid from `arrived`, which is
+  /// earlier than now if the target executes it late.
   order_report ApplyOrder(const key_order& order, time_point arrived);
+  /// Passes `report` to the assigner of `host` unless its process has changed.
   void Report(size_t host, uint64_t life, const order_report& report);
   void CheckHolds();
   void Fail(const std::string& problem);
   void Note(std::string what);
+  /// Updates the targets' entries by one step and returns those that the store
+  /// still lists.
   std::vector<target_entry> Listed();
   bool Chance(double part);
 
@@ -185,7 +212,7 @@
   std::map<std::string, stored> objects_;
   uint64_t revision_ = 1;
   std::deque<delivery> deliveries_;
-  /// The highest fence of each watched key, and who had it.
+  /// The highest fence granted for each watched key, and its owner.
   std::array<fence_number, kWatchedKeys> highest_{};
   std::array<target_life, kWatchedKeys> highest_of_{};
   std::vector<assigner_note> notes_;
--- a/tests/support/keyed_service.h
+++ b/tests/support/keyed_service.h
@@ -2,7 +2,7 @@
 #define FOXTAILSPREAD_TESTS_SUPPORT_KEYED_SERVICE_H_
 
 /// @file
-/// The declaration of a service whose targets own keys.
+/// Settings of a keyed service, whose targets own keys exclusively, for tests.
 
 #include <string>
 #include <utility>
