--- a/tests/key_assigner_test.cc
+++ b/tests/key_assigner_test.cc
@@ -14,12 +14,12 @@
 using std::chrono::seconds;
 using testing::assigner_world;
 
-/// Time from the start until all keys are owned.
-constexpr duration kSettled{seconds{4}};
+/// Time from the start until all keys have an owner.
+constexpr duration kSettlingTime{seconds{4}};
 
 class KeyAssignerTest : public ::testing::Test {
  protected:
-  /// Whether a note says that keys of `target` are free, for that reason.
+  /// Whether a log note reports keys of `target` as free with `reason`.
   bool IsReportedFree(std::string_view target, std::string_view reason) const {
     return std::any_of(world_.notes().begin(), world_.notes().end(),
                        [&](const assigner_note& note) {
@@ -33,8 +33,8 @@
   assigner_world world_{{.hosts = 5, .targets = 6, .seed = 7}};
 };
 
-TEST_F(KeyAssignerTest, CalmStartGivesEveryKeyAnOwner) {
-  world_.Run(kSettled);
+TEST_F(KeyAssignerTest, StartWithoutFaultsAssignsEveryKey) {
+  world_.Run(kSettlingTime);
   EXPECT_EQ(world_.UnownedKeys(), 0U);
   ASSERT_TRUE(world_.Recorded());
   EXPECT_TRUE(CheckKeyMap(*world_.Recorded()));
@@ -43,21 +43,20 @@
   }
 }
 
-TEST_F(KeyAssignerTest, CalmMinutesMoveNoKey) {
-  world_.Run(kSettled);
-  const auto before = world_.Recorded();
+TEST_F(KeyAssignerTest, NoKeyMovesWithoutFaults) {
+  world_.Run(kSettlingTime);
+  const auto initial_map = world_.Recorded();
   for (int i = 0; i < 600; ++i) {
     world_.Run(milliseconds{500});
     ASSERT_EQ(world_.UnownedKeys(), 0U) << i;
   }
-  EXPECT_EQ(world_.Recorded(), before);
+  EXPECT_EQ(world_.Recorded(), initial_map);
 }
 
-// The host that gives keys is killed. Targets hold their keys for three
-// seconds; if nobody renews them in time, every caller of the keyed service is
-// refused.
-TEST_F(KeyAssignerTest, KilledHolderIsFollowedBeforeGrantsEnd) {
-  world_.Run(kSettled);
+// The lease holder is killed. Grants last three seconds; unless a successor
+// renews them in time, every request to the keyed service is refused.
+TEST_F(KeyAssignerTest, SuccessorRenewsGrantsOfKilledHolderBeforeTheyExpire) {
+  world_.Run(kSettlingTime);
   const size_t holder = world_.holder().value();
   world_.KillHost(holder);
   for (int i = 0; i < 100; ++i) {
@@ -68,11 +67,11 @@
   EXPECT_NE(world_.holder().value(), holder);
 }
 
-// Hosts remember heartbeats of holders before. A takeover made some of them
-// take the lease from one another every ten milliseconds, and no key ever
-// moved.
-TEST_F(KeyAssignerTest, TakeoversInARowEndWithOneHolder) {
-  world_.Run(kSettled);
+// Hosts remember heartbeats of former holders. After a takeover, hosts that
+// acted on such a heartbeat took the lease from one another every 10 ms, and no
+// key could move.
+TEST_F(KeyAssignerTest, RepeatedTakeoversEndWithOneHolder) {
+  world_.Run(kSettlingTime);
   for (int i = 0; i < 3; ++i) {
     const size_t holder = world_.holder().value();
     world_.KillHost(holder);
@@ -87,16 +86,16 @@
   }
 }
 
-// The lease goes from one host to another and back, and a third one has heard
-// no heartbeat since the first time. An old heartbeat must not count as silence
-// of the present holder: hosts that went by it took the lease from one another
-// every ten milliseconds.
-TEST_F(KeyAssignerTest, LeaseThatCameBackIsNotTakenForAnOldBeat) {
+// The lease passes from one host to another and back, and a third host has
+// received no heartbeat since the first time. It must not take the age of that
+// heartbeat for silence of the current holder: hosts that did took the lease
+// from one another every 10 ms.
+TEST_F(KeyAssignerTest, OldHeartbeatOfReturnedHolderDoesNotCauseTakeover) {
   key_assigner third({.host = "third", .zone = "z", .address = "third"});
   third.OnServices({});
   third.OnStoreAnswers(true, world_.now());
   time_point now = world_.now();
-  const auto read = [&](const std::string& holder, uint64_t revision) {
+  const auto read_lease = [&](const std::string& holder, uint64_t revision) {
     const assigner_lease lease{
         .host = holder, .address = holder, .renewal = revision};
     ASSERT_TRUE(
@@ -106,27 +105,29 @@
                            .item = FormatLease(lease)}}},
                         now));
   };
-  read("first", 1);
+  read_lease("first", 1);
   third.OnHeartbeat(
       {.host = "first", .lease_revision = 1, .successors = {"third"}}, now);
   now += milliseconds{200};
-  read("second", 2);
+  read_lease("second", 2);
   now += seconds{3};
-  read("first", 3);
+  read_lease("first", 3);
   assigner_actions actions;
   now += milliseconds{10};
   third.OnTime(now, actions);
   EXPECT_TRUE(actions.empty());
   now += seconds{1};
   third.OnTime(now, actions);
-  EXPECT_EQ(actions.size(), 1U) << "real silence is acted on";
+  EXPECT_EQ(actions.size(), 1U)
+      << "the third host did not take the lease of a silent holder";
 }
 
-// The first holder is gone for good. The second renews the lease for fourteen
-// seconds, of which a third host hears by heartbeats alone, and is lost as
-// well. The third must go on with the wait for the first: begun anew, keys of
-// targets that were lost with it are refused for fifteen seconds more.
-TEST_F(KeyAssignerTest, WaitForALostHolderGoesOnWhereOnlyHeartbeatsWereHeard) {
+// The first holder is lost for good. The second renews the lease for 14 s and
+// is lost as well; a third host learns of these renewals from heartbeats only.
+// The third must subtract the time that has passed from the wait for the first
+// holder's grants: if it restarts the wait, keys of targets that were lost with
+// the first holder are refused for another 15 s.
+TEST_F(KeyAssignerTest, WaitForLostHolderContinuesWithHeartbeatsOnly) {
   key_assigner third({.host = "third", .zone = "z", .address = "third"});
   third.OnServices({});
   third.OnStoreAnswers(true, world_.now());
@@ -152,18 +153,19 @@
   now += seconds{1};
   third.OnTime(now, actions);
   ASSERT_EQ(actions.size(), 1U);
-  const auto taken = ParseLease(std::get<store_write>(actions[0]).content);
-  ASSERT_TRUE(taken);
-  for (const former_holder& each : taken.value().predecessors) {
-    EXPECT_TRUE(each.host == "second" || each.may_renew <= seconds{1})
-        << each.host;
+  const auto new_lease = ParseLease(std::get<store_write>(actions[0]).content);
+  ASSERT_TRUE(new_lease);
+  for (const former_holder& former : new_lease.value().predecessors) {
+    EXPECT_TRUE(former.host == "second" || former.may_renew <= seconds{1})
+        << former.host;
   }
 }
 
-// A host restarts and is chosen as successor in the place of another, which
-// hears no more heartbeats. It must not take the silence for a lost holder.
-TEST_F(KeyAssignerTest, SuccessorThatIsReplacedDoesNotTakeOver) {
-  world_.Run(kSettled);
+// A restarted host is chosen as successor in place of another host, which then
+// receives no more heartbeats. The replaced host must not conclude from this
+// silence that the holder is lost.
+TEST_F(KeyAssignerTest, ReplacedSuccessorDoesNotTakeOver) {
+  world_.Run(kSettlingTime);
   const size_t holder = world_.holder().value();
   const size_t other = (holder + 1) % world_.host_count();
   for (int i = 0; i < 4; ++i) {
@@ -175,36 +177,37 @@
   }
 }
 
-// A target loses power. Nobody can tell that from a cut, so its keys wait for
-// the end of its hold; callers of these keys are refused meanwhile.
-TEST_F(KeyAssignerTest, LostTargetsKeysAreOwnedAgainAfterTheHold) {
-  world_.Run(kSettled);
+// A target loses power. This looks the same as a network partition, so its keys
+// get a new owner only after its grants have expired; requests for them are
+// refused until then.
+TEST_F(KeyAssignerTest, LostTargetsKeysGetNewOwnerAfterGrantsExpire) {
+  world_.Run(kSettlingTime);
   world_.target(2).alive = false;
   world_.Run(milliseconds{5200});
   EXPECT_EQ(world_.UnownedKeys(), 0U);
   EXPECT_EQ(world_.KeysOf(2), 0U);
 }
 
-// Guards against moves whose reason no log tells.
-TEST_F(KeyAssignerTest, LostTargetsKeysAreReportedFreeWithTheReason) {
-  world_.Run(kSettled);
+// Guards against key moves without a logged reason.
+TEST_F(KeyAssignerTest, LostTargetsKeysAreReportedFreeWithReason) {
+  world_.Run(kSettlingTime);
   world_.target(2).alive = false;
   world_.Run(milliseconds{5200});
   EXPECT_TRUE(IsReportedFree("t2", "grants-expired"));
 }
 
-// Guards against moves whose reason no log tells.
-TEST_F(KeyAssignerTest, LeavingTargetsKeysAreReportedFreeWithTheReason) {
-  world_.Run(kSettled);
+// Guards against key moves without a logged reason.
+TEST_F(KeyAssignerTest, DrainingTargetsKeysAreReportedFreeWithReason) {
+  world_.Run(kSettlingTime);
   world_.target(2).entry.draining = true;
   world_.Run(seconds{2});
   EXPECT_TRUE(IsReportedFree("t2", "released"));
 }
 
-// A target and the host that gives keys go at the same moment. The successor
-// cannot know what was granted last.
-TEST_F(KeyAssignerTest, LostTargetAndLostHolderRecoverTogether) {
-  world_.Run(kSettled);
+// A target and the lease holder are lost at the same moment. The successor
+// cannot know which grants the holder sent last.
+TEST_F(KeyAssignerTest, KeysRecoverWhenTargetAndHolderAreLostTogether) {
+  world_.Run(kSettlingTime);
   const size_t holder = world_.holder().value();
   world_.target(2).alive = false;
   world_.KillHost(holder);
@@ -214,12 +217,12 @@
   EXPECT_EQ(world_.UnownedKeys(), 0U);
 }
 
-// A holder is gone for good together with a target, and its successor is
-// restarted while it still waits for what the first may have granted. The next
-// one must go on with that wait; each that began it anew left the lost target's
-// keys without an owner for as long as holders kept changing.
-TEST_F(KeyAssignerTest, WaitForALostHolderIsNotBegunAnewByEachSuccessor) {
-  world_.Run(kSettled);
+// A holder and a target are lost for good, and the holder's successor restarts
+// while it waits for grants that the first holder may have sent to expire. The
+// next holder must continue that wait: when each one restarted it, the lost
+// target's keys had no owner for as long as holders kept changing.
+TEST_F(KeyAssignerTest, WaitForLostHolderIsNotRestartedByEachSuccessor) {
+  world_.Run(kSettlingTime);
   const size_t first = world_.holder().value();
   world_.target(2).alive = false;
   world_.KillHost(first);
@@ -235,12 +238,13 @@
   EXPECT_EQ(world_.UnownedKeys(), 0U);
 }
 
-// A holder is gone for good, and so is a target whose address another service's
-// target has now. Until the lost holder's time is over nobody may take the lost
-// target's keys, unless it is certain that it holds none: callers were refused
-// for nineteen seconds.
-TEST_F(KeyAssignerTest, LostTargetWhoseAddressIsReusedKeepsNoKeysFromOthers) {
-  world_.Run(kSettled);
+// A holder and a target are lost for good, and a target of another service gets
+// the lost target's address. While grants of the lost holder may still be
+// valid, the lost target's keys may move only if it certainly holds none. The
+// reused address proves that; when it was not considered, requests were refused
+// for 19 s.
+TEST_F(KeyAssignerTest, KeysOfLostTargetMoveOnceItsAddressIsReused) {
+  world_.Run(kSettlingTime);
   const size_t holder = world_.holder().value();
   world_.target(2).alive = false;
   world_.KillHost(holder);
@@ -251,11 +255,11 @@
   EXPECT_EQ(world_.UnownedKeys(), 0U);
 }
 
-// A target has ended and is still listed; another process answers at its
-// address and takes no orders. Callers of the keys are refused until they have
-// another owner, and for longer with each time that the target is given more.
+// A target has stopped but is still listed, and another process at its address
+// rejects all orders. Requests for its keys are refused until the keys have
+// another owner, and for longer each time the target is assigned keys again.
 TEST_F(KeyAssignerTest, TargetThatRejectsOrdersLosesItsKeys) {
-  world_.Run(kSettled);
+  world_.Run(kSettlingTime);
   ASSERT_GT(world_.KeysOf(2), 0U);
   world_.target(2).rejects = true;
   world_.Run(seconds{8});
@@ -263,60 +267,61 @@
   EXPECT_EQ(world_.KeysOf(2), 0U);
 }
 
-// The holder's zone is cut off from the store and from all targets but one, and
-// nobody can take over. When the cut ends its copy of the list of targets is
-// still the one from before. It must not take the others for lost: their keys
-// went to the one target, which callers overran.
-TEST_F(KeyAssignerTest, HolderThatWasCutOffDoesNotTakeTargetsForLost) {
+// The holder is partitioned from the store and from all targets but one, and no
+// host can take over. When the partition ends, its copy of the target list is
+// still the old one. It must not consider the other targets lost: all keys then
+// moved to the one target, which was overloaded.
+TEST_F(KeyAssignerTest, HolderKeepsTargetsAfterPartitionEnds) {
   assigner_world world{{.hosts = 1, .targets = 6, .seed = 7}};
-  world.Run(kSettled);
-  const auto before = world.Recorded();
-  const auto cut = [&](bool off) {
-    world.host(0).reaches_store = !off;
-    world.host(0).lists_targets = !off;
+  world.Run(kSettlingTime);
+  const auto initial_map = world.Recorded();
+  const auto set_partitioned = [&](bool partitioned) {
+    world.host(0).reaches_store = !partitioned;
+    world.host(0).lists_targets = !partitioned;
     for (size_t i = 1; i < world.target_count(); ++i) {
       world.target(i).unreachable_from =
-          off ? std::set<std::string>{world.host(0).name}
-              : std::set<std::string>{};
+          partitioned ? std::set<std::string>{world.host(0).name}
+                      : std::set<std::string>{};
     }
   };
-  cut(true);
+  set_partitioned(true);
   world.Run(seconds{5});
-  cut(false);
+  set_partitioned(false);
   world.host(0).lists_targets = false;
   world.Run(seconds{1});
   world.host(0).lists_targets = true;
   world.Run(seconds{11});
-  EXPECT_EQ(world.Recorded(), before);
+  EXPECT_EQ(world.Recorded(), initial_map);
   EXPECT_EQ(world.UnownedKeys(), 0U);
   EXPECT_EQ(world.problem(), "");
 }
 
-// A crashed target is back under the id that it had and holds nothing. Callers
-// of its keys get 421 until they are granted anew.
-TEST_F(KeyAssignerTest, ReturnedTargetGetsItsKeysWithAHigherFence) {
-  world_.Run(kSettled);
-  const fence_number before = world_.Recorded()->last_fence;
+// A crashed target restarts under the same id and holds no keys. Requests for
+// its former keys are answered with 421 until these are granted again.
+TEST_F(KeyAssignerTest, RestartedTargetGetsKeysWithHigherFence) {
+  world_.Run(kSettlingTime);
+  const fence_number initial_fence = world_.Recorded()->last_fence;
   world_.RestartTarget(1);
   world_.Run(seconds{1});
   EXPECT_EQ(world_.UnownedKeys(), 0U);
-  EXPECT_GT(world_.Recorded()->last_fence, before);
+  EXPECT_GT(world_.Recorded()->last_fence, initial_fence);
 }
 
-// A target says that it leaves. Work must not reach it two seconds later, so
-// its keys are elsewhere by then.
-TEST_F(KeyAssignerTest, LeavingTargetsKeysMoveWithoutAGap) {
-  world_.Run(kSettled);
+// A target announces that it is draining. No request may reach it two seconds
+// later, so its keys must have moved by then.
+TEST_F(KeyAssignerTest, DrainingTargetsKeysMoveWithoutGap) {
+  world_.Run(kSettlingTime);
   world_.target(3).entry.draining = true;
   world_.Run(milliseconds{600});
   EXPECT_EQ(world_.KeysOf(3), 0U);
   EXPECT_EQ(world_.UnownedKeys(), 0U);
 }
 
-// The store is away for longer than a grant lasts. Every key would be without
-// an owner, and every caller refused, if grants ended with the store.
-TEST_F(KeyAssignerTest, OutageOfTheStoreTakesNoKeys) {
-  world_.Run(kSettled);
+// The store is unavailable for longer than a grant lasts. If grants were not
+// renewed during the outage, every key would lose its owner and every request
+// would be refused.
+TEST_F(KeyAssignerTest, KeysKeepOwnersDuringStoreOutage) {
+  world_.Run(kSettlingTime);
   world_.store_down = true;
   for (int i = 0; i < 100; ++i) {
     world_.Run(milliseconds{100});
@@ -327,10 +332,10 @@
   EXPECT_EQ(world_.UnownedKeys(), 0U);
 }
 
-// The holder is asked to stop while the store is away, so nobody can follow
-// it. It keeps what it granted for as long as its process lives.
-TEST_F(KeyAssignerTest, HolderThatLeavesWithoutTheStoreKeepsWhatItGranted) {
-  world_.Run(kSettled);
+// The holder is asked to stop while the store is unavailable, so no host can
+// take over. It keeps renewing its grants for as long as its process runs.
+TEST_F(KeyAssignerTest, HolderLeavingDuringStoreOutageRenewsItsGrants) {
+  world_.Run(kSettlingTime);
   const size_t holder = world_.holder().value();
   world_.store_down = true;
   assigner_actions ignored;
@@ -341,10 +346,10 @@
   }
 }
 
-// The holder alone is cut from the store. It cannot move keys any more; a
-// successor must.
-TEST_F(KeyAssignerTest, HolderCutFromTheStoreIsFollowed) {
-  world_.Run(kSettled);
+// Only the holder loses its connection to the store. It can no longer move
+// keys, so a successor has to take over.
+TEST_F(KeyAssignerTest, HolderWithoutStoreIsSucceeded) {
+  world_.Run(kSettlingTime);
   const size_t holder = world_.holder().value();
   world_.host(holder).reaches_store = false;
   world_.Run(seconds{3});
@@ -355,11 +360,11 @@
   EXPECT_EQ(world_.UnownedKeys(), 0U);
 }
 
-// A host loses the lease while orders of its own are under way, and gets it
-// back later. If it still waited for their ends, keys of a target that is lost
-// then would never be served again.
-TEST_F(KeyAssignerTest, HolderThatComesBackStillRecoversLostTargets) {
-  world_.Run(kSettled);
+// A host loses the lease while its orders are in flight, and takes it again
+// later. If it still waited for the results of these orders, keys of a target
+// that is lost then would never get an owner again.
+TEST_F(KeyAssignerTest, ReturnedHolderReassignsKeysOfLostTargets) {
+  world_.Run(kSettlingTime);
   const size_t first = world_.holder().value();
   world_.late_orders = 0.9;
   world_.Run(milliseconds{900});
@@ -382,10 +387,11 @@
   }
 }
 
-// A partition that answers in the targets' place makes them look dead. Keys
-// granted elsewhere at once would have two owners.
-TEST_F(KeyAssignerTest, RefusedConnectionsDoNotCountAsDeath) {
-  world_.Run(kSettled);
+// A network partition that refuses connections on behalf of targets makes them
+// look dead. Keys that were granted to other targets at once would have two
+// owners.
+TEST_F(KeyAssignerTest, RefusedConnectionsAreNotProofOfTargetEnd) {
+  world_.Run(kSettlingTime);
   const size_t holder = world_.holder().value();
   for (size_t i = 0; i < 3; ++i) {
     world_.target(i).unreachable_from.insert(world_.host(holder).name);
@@ -395,14 +401,15 @@
 }
 
 TEST_F(KeyAssignerTest, AddedTargetGetsKeysWithinFourSeconds) {
-  world_.Run(kSettled);
+  world_.Run(kSettlingTime);
   world_.AddTarget();
   world_.Run(seconds{4});
   EXPECT_GT(world_.KeysOf(world_.target_count() - 1), 0U);
   EXPECT_EQ(world_.UnownedKeys(), 0U);
 }
 
-// Guards against keys that stay with the targets of an evacuated zone.
+/// Runs with targets that remember (false) or forget (true) the fences of
+/// releases of keys that they did not hold.
 class LapsedHolderTest : public ::testing::TestWithParam<bool> {
  protected:
   assigner_world world_{{.hosts = 5,
@@ -411,10 +418,11 @@
                          .targets_forget_releases = GetParam()}};
 };
 
-// Guards against keys with two owners when the store turns away the holder,
-// which goes on renewing at targets that its successor moves keys from.
-TEST_P(LapsedHolderTest, RenewalsAfterTheLapseReviveNoMovedKeys) {
-  world_.Run(kSettled);
+// Guards against keys with two owners when the holder cannot reach the store
+// and its lease lapses: it keeps renewing grants of targets that its successor
+// moves keys away from.
+TEST_P(LapsedHolderTest, RenewalsAfterLapseDoNotRestoreMovedKeys) {
+  world_.Run(kSettlingTime);
   const size_t lapsed = world_.holder().value();
   world_.host(lapsed).reaches_store = false;
   world_.Run(seconds{6});
@@ -433,28 +441,31 @@
 INSTANTIATE_TEST_SUITE_P(TargetsForgetReleases, LapsedHolderTest,
                          ::testing::Bool());
 
+// Guards against keys that stay with the targets of an evacuated zone.
 TEST_F(KeyAssignerTest, EvacuatedZoneLosesItsKeysAtOnce) {
-  world_.Run(kSettled);
+  world_.Run(kSettlingTime);
   world_.evacuated_zones = {"zone-1"};
   world_.Run(milliseconds{500});
   EXPECT_EQ(world_.KeysOf(1) + world_.KeysOf(4), 0U);
   EXPECT_EQ(world_.UnownedKeys(), 0U);
 }
 
-// Guards against keys taken from all targets when there is nowhere to go.
+// Guards against keys being taken from all targets when no other target can
+// own them.
 TEST_F(KeyAssignerTest, EvacuationOfAllZonesMovesNoKey) {
-  world_.Run(kSettled);
-  const auto before = world_.Recorded();
+  world_.Run(kSettlingTime);
+  const auto initial_map = world_.Recorded();
   world_.evacuated_zones = {"zone-0", "zone-1", "zone-2"};
   world_.Run(seconds{2});
-  EXPECT_EQ(world_.Recorded(), before);
+  EXPECT_EQ(world_.Recorded(), initial_map);
 }
 
-// Guards against a returned zone whose cold targets get keys.
+// Guards against cold targets getting keys when the evacuation of their zone
+// ends.
 TEST(KeyAssignerColdTest, ReturnedZoneGetsKeysWhenItsTargetsAreWarm) {
   assigner_world world(
       {.hosts = 5, .targets = 6, .seed = 7, .cold_time = seconds{3}});
-  world.Run(kSettled);
+  world.Run(kSettlingTime);
   world.evacuated_zones = {"zone-1"};
   world.Run(seconds{2});
   world.evacuated_zones.clear();
@@ -465,12 +476,11 @@
   EXPECT_EQ(world.problem(), "");
 }
 
-// Guards against a target that starts again and gets its former keys while it
-// is cold.
+// Guards against a restarted target getting its former keys while it is cold.
 TEST(KeyAssignerColdTest, RestartedTargetGetsKeysWhenItIsWarm) {
   assigner_world world(
       {.hosts = 5, .targets = 6, .seed = 7, .cold_time = seconds{3}});
-  world.Run(kSettled);
+  world.Run(kSettlingTime);
   world.RestartTarget(2);
   world.Run(milliseconds{2500});
   EXPECT_EQ(world.KeysOf(2), 0U);
