--- a/tests/key_assigner_proof_test.cc
+++ b/tests/key_assigner_proof_test.cc
@@ -1,6 +1,6 @@
-// Random faults against the hosts that give keys, the store and the targets.
-// Whatever happens, no key has two owners and no fence goes back; when the
-// faults are over, every key is served again.
+// Injects random faults into hosts, the store and targets. No key may ever have
+// two owners or change its owner without a higher fence, and every key must
+// have an owner again after the faults have ended.
 
 #include <gtest/gtest.h>
 
@@ -17,49 +17,52 @@
 using std::chrono::seconds;
 using testing::assigner_world;
 
-/// Schedules played; each takes some tens of milliseconds.
-constexpr uint64_t kSeeds = 200;
-/// Of schedules of one kind.
-constexpr uint64_t kFewerSeeds = 60;
+/// Number of random schedules; each takes some tens of milliseconds to run.
+constexpr uint64_t kScheduleCount = 200;
+/// Number of random schedules for each optional kind of fault.
+constexpr uint64_t kVariantScheduleCount = 60;
 
-/// Lets more or other schedules be played by hand.
-uint64_t NumberFrom(const char* variable, uint64_t otherwise) {
+/// Returns the number in an environment variable, which selects other or more
+/// schedules for a manual run, or `default_value` if it is not set.
+uint64_t EnvironmentNumber(const char* variable, uint64_t default_value) {
   const char* text = std::getenv(variable);
-  return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
+  return text == nullptr ? default_value : std::strtoull(text, nullptr, 10);
 }
 
-/// Targets of the keyed service.
-constexpr size_t kFirstTargets = 6;
+/// Number of targets of the keyed service.
+constexpr size_t kKeyedTargetCount = 6;
 
-/// What a schedule plays beside its faults.
+/// Kinds of faults that a schedule injects in addition to the basic ones.
 struct schedule_options {
   bool targets_forget_releases = false;
+  /// Evacuates zones and ends their evacuation; targets start cold.
   bool evacuations = false;
-  bool losses_together = false;
+  /// Injects correlated faults, and sends records by datagram.
+  bool correlated_faults = false;
 };
 
-/// Plays random faults for some forty seconds.
-class fault_player {
+/// Injects random faults for about 40 s of virtual time.
+class fault_injector {
  public:
-  fault_player(assigner_world& world, uint64_t seed)
+  fault_injector(assigner_world& world, uint64_t seed)
       : world_(world), random_(seed) {}
 
-  void Play(const schedule_options& options) {
+  void InjectFaults(const schedule_options& options) {
     world_.Run(seconds{4});
     for (int i = 0; i < 25; ++i) {
-      Strike();
+      InjectFault();
       if (options.evacuations) {
-        ChangeEvacuations();
+        ToggleEvacuation();
       }
-      if (options.losses_together) {
-        StrikeTogether();
+      if (options.correlated_faults) {
+        InjectCorrelatedFault();
       }
-      world_.Run(milliseconds{Pick(2500)});
+      world_.Run(milliseconds{RandomBelow(2500)});
     }
   }
 
-  /// Ends every fault and gives the system time to settle.
-  void Heal() {
+  /// Ends all faults and gives the system time to recover.
+  void EndFaults() {
     world_.store_down = false;
     world_.evacuated_zones.clear();
     world_.cut_zone.clear();
@@ -80,7 +83,7 @@
       target.reaches_store = true;
       target.unreachable_from.clear();
       target.unheard_by.clear();
-      if (!target.alive && !reused_.contains(i)) {
+      if (!target.alive && !replaced_targets_.contains(i)) {
         world_.RestartTarget(i);
       }
     }
@@ -88,28 +91,30 @@
   }
 
  private:
-  size_t Pick(size_t below) { return random_() % below; }
+  size_t RandomBelow(size_t limit) { return random_() % limit; }
 
-  void ChangeEvacuations() {
-    const std::string zone = "zone-" + std::to_string(Pick(3));
+  void ToggleEvacuation() {
+    const std::string zone = "zone-" + std::to_string(RandomBelow(3));
     if (!world_.evacuated_zones.erase(zone)) {
       world_.evacuated_zones.insert(zone);
     }
   }
 
-  /// Faults that strike several hosts or targets at once, or one direction.
-  void StrikeTogether() {
-    auto& target = world_.target(Pick(world_.target_count()));
-    const size_t lost = Pick(world_.target_count());
-    switch (Pick(8)) {
+  /// Injects at most one fault that affects several hosts or targets at once,
+  /// or only one direction of a connection.
+  void InjectCorrelatedFault() {
+    auto& target = world_.target(RandomBelow(world_.target_count()));
+    const size_t replaced_index = RandomBelow(world_.target_count());
+    switch (RandomBelow(8)) {
       case 0:
-        world_.cut_zone = "zone-" + std::to_string(Pick(3));
+        world_.cut_zone = "zone-" + std::to_string(RandomBelow(3));
         break;
       case 1:
         world_.cut_zone.clear();
         break;
       case 2:
-        target.unheard_by.insert(world_.host(Pick(world_.host_count())).name);
+        target.unheard_by.insert(
+            world_.host(RandomBelow(world_.host_count())).name);
         break;
       case 3:
         target.unheard_by.clear();
@@ -118,7 +123,7 @@
         RestartAllHosts();
         break;
       case 5:
-        ReplaceAtAddress(lost);
+        ReplaceTarget(replaced_index);
         break;
       default:
         break;
@@ -129,31 +134,33 @@
     for (size_t i = 0; i < world_.host_count(); ++i) {
       world_.KillHost(i);
     }
-    world_.Run(milliseconds{Pick(1000)});
+    world_.Run(milliseconds{RandomBelow(1000)});
     for (size_t i = 0; i < world_.host_count(); ++i) {
       world_.StartHost(i);
     }
   }
 
-  /// A target ends for good; later another service's target has its address.
-  void ReplaceAtAddress(size_t index) {
-    constexpr size_t kMostReplaced = 3;
-    if (reused_.size() >= kMostReplaced || index >= kFirstTargets ||
-        reused_.contains(index)) {
+  /// Stops a target for good and then starts a target of another service at its
+  /// address.
+  void ReplaceTarget(size_t index) {
+    constexpr size_t kMaxReplacedTargets = 3;
+    if (replaced_targets_.size() >= kMaxReplacedTargets ||
+        index >= kKeyedTargetCount || replaced_targets_.contains(index)) {
       return;
     }
-    reused_.insert(index);
+    replaced_targets_.insert(index);
     world_.target(index).alive = false;
     world_.Run(seconds{2});
     world_.ReuseAddress(index);
   }
 
-  void Strike() {
-    auto& host = world_.host(Pick(world_.host_count()));
-    auto& target = world_.target(Pick(world_.target_count()));
-    const size_t host_index = Pick(world_.host_count());
-    const size_t target_index = Pick(world_.target_count());
-    switch (Pick(15)) {
+  /// Injects or ends one random fault.
+  void InjectFault() {
+    auto& host = world_.host(RandomBelow(world_.host_count()));
+    auto& target = world_.target(RandomBelow(world_.target_count()));
+    const size_t host_index = RandomBelow(world_.host_count());
+    const size_t target_index = RandomBelow(world_.target_count());
+    switch (RandomBelow(15)) {
       case 0:
         world_.KillHost(host_index);
         break;
@@ -163,7 +170,7 @@
         }
         break;
       case 2:
-        host.frozen_until = world_.now() + milliseconds{Pick(6000)};
+        host.frozen_until = world_.now() + milliseconds{RandomBelow(6000)};
         break;
       case 3:
         host.reaches_store = !host.reaches_store;
@@ -185,7 +192,7 @@
         break;
       case 9:
         if (!world_.target(target_index).alive &&
-            !reused_.contains(target_index)) {
+            !replaced_targets_.contains(target_index)) {
           world_.RestartTarget(target_index);
         }
         break;
@@ -196,13 +203,13 @@
         world_.store_down = !world_.store_down;
         break;
       case 12:
-        world_.lost_writes = Pick(2) == 0 ? 0.0 : 0.3;
+        world_.lost_writes = RandomBelow(2) == 0 ? 0.0 : 0.3;
         break;
       case 13:
-        world_.late_writes = Pick(2) == 0 ? 0.0 : 0.3;
+        world_.late_writes = RandomBelow(2) == 0 ? 0.0 : 0.3;
         break;
       case 14:
-        world_.late_orders = Pick(2) == 0 ? 0.0 : 0.3;
+        world_.late_orders = RandomBelow(2) == 0 ? 0.0 : 0.3;
         break;
       default:
         break;
@@ -211,92 +218,96 @@
 
   assigner_world& world_;
   std::mt19937_64 random_;
-  std::set<size_t> reused_;  ///< Targets whose address another has.
+  /// Indices of stopped targets whose address was given to another one.
+  std::set<size_t> replaced_targets_;
 };
 
-/// Plays one schedule of faults and checks what must hold.
-void PlaySchedule(uint64_t seed, const schedule_options& options) {
+/// Runs one schedule of faults and checks ownership and recovery.
+void RunSchedule(uint64_t seed, const schedule_options& options) {
   assigner_world world(
       {.hosts = 5,
-       .targets = kFirstTargets,
+       .targets = kKeyedTargetCount,
        .seed = seed,
        .targets_forget_releases = options.targets_forget_releases,
-       .datagrams = options.losses_together,
+       .datagrams = options.correlated_faults,
        .cold_time = options.evacuations ? seconds{3} : seconds{0}});
-  fault_player player(world, seed);
-  player.Play(options);
-  player.Heal();
+  fault_injector injector(world, seed);
+  injector.InjectFaults(options);
+  injector.EndFaults();
   EXPECT_EQ(world.problem(), "") << "seed " << seed << '\n' << world.History();
   EXPECT_EQ(world.UnownedKeys(), 0U) << "seed " << seed;
   EXPECT_TRUE(world.holder()) << "seed " << seed;
 }
 
-void PlaySchedules(uint64_t seeds, const schedule_options& options) {
-  const uint64_t first = NumberFrom("FOXTAIL_FIRST_SEED", 1);
-  const uint64_t count = NumberFrom("FOXTAIL_SEEDS", seeds);
+void RunSchedules(uint64_t default_count, const schedule_options& options) {
+  const uint64_t first = EnvironmentNumber("FOXTAIL_FIRST_SEED", 1);
+  const uint64_t count = EnvironmentNumber("FOXTAIL_SEEDS", default_count);
   for (uint64_t seed = first; seed < first + count; ++seed) {
-    PlaySchedule(seed, options);
+    RunSchedule(seed, options);
     if (::testing::Test::HasFailure()) {
       return;
     }
   }
 }
 
-TEST(KeyAssignerProofTest, RandomFaultsNeverGiveAKeyTwoOwners) {
-  PlaySchedules(kSeeds, {});
+TEST(KeyAssignerProofTest, RandomFaultsNeverGiveKeyTwoOwners) {
+  RunSchedules(kScheduleCount, {});
 }
 
-// Guards against a late grant that a target carries out after it was asked to
-// release keys that it did not hold yet.
-TEST(KeyAssignerProofTest, TargetsThatForgetReleasesNeverHoldAKeyTwice) {
-  PlaySchedules(kFewerSeeds, {.targets_forget_releases = true});
+// Guards against a delayed grant that a target executes after an order to
+// release keys that it did not hold yet. A target that keeps no fence of that
+// release accepts the grant, and the keys have two owners.
+TEST(KeyAssignerProofTest, ForgottenReleasesNeverGiveKeyTwoOwners) {
+  RunSchedules(kVariantScheduleCount, {.targets_forget_releases = true});
 }
 
-// Guards against keys with two owners while zones are evacuated and taken back.
-TEST(KeyAssignerProofTest, EvacuationsNeverGiveAKeyTwoOwners) {
-  PlaySchedules(kFewerSeeds, {.evacuations = true});
+// Guards against keys with two owners while zones are evacuated and return.
+TEST(KeyAssignerProofTest, EvacuationsNeverGiveKeyTwoOwners) {
+  RunSchedules(kVariantScheduleCount, {.evacuations = true});
 }
 
-// Guards against two owners of a key when zones are cut off whole, answers are
-// lost one way, all hosts restart at once, addresses are reused, and hosts
-// learn of records by datagram.
-TEST(KeyAssignerProofTest, LossesTogetherNeverGiveAKeyTwoOwners) {
-  PlaySchedules(kFewerSeeds, {.losses_together = true});
+// Guards against keys with two owners when whole zones are partitioned, answers
+// are lost while orders arrive, all hosts restart at once, addresses are
+// reused, and hosts receive records by datagram.
+TEST(KeyAssignerProofTest, CorrelatedFaultsNeverGiveKeyTwoOwners) {
+  RunSchedules(kVariantScheduleCount, {.correlated_faults = true});
 }
 
-// Faults that random schedules found: a grant that was offered while the record
-// that replaces it was on its way to the store; a holder two before the present
-// one that went on renewing; and a holder that left its own new record aside
-// until the write was answered, renewed the old owner's grant meanwhile and met
-// that owner's next process. Each gave a key two owners.
-TEST(KeyAssignerProofTest, SchedulesThatOnceFailedHold) {
+// Seeds of random schedules that gave a key two owners:
+// - A grant was sent while the record that replaces it was being written.
+// - A host that held the lease two holders earlier kept renewing its grants.
+// - A holder ignored its own new record until the write was answered. Meanwhile
+//   it renewed the old owner's grant, and the renewal reached that owner's next
+//   process.
+TEST(KeyAssignerProofTest, FormerlyFailingSchedulesPass) {
   for (const uint64_t seed : {45, 310, 2795, 3293}) {
-    PlaySchedule(seed, {});
+    RunSchedule(seed, {});
   }
 }
 
-// Guards against a renewal that its target carries out after it answered the
-// release of keys that it had let go of before.
-TEST(KeyAssignerProofTest, SchedulesOfForgetfulTargetsThatOnceFailedHold) {
+// Guards against a renewal that a target executes after it answered a release
+// of keys that it no longer held.
+TEST(KeyAssignerProofTest, FormerlyFailingForgottenReleaseSchedulesPass) {
   for (const uint64_t seed : {1000149, 1000251}) {
-    PlaySchedule(seed, {.targets_forget_releases = true});
+    RunSchedule(seed, {.targets_forget_releases = true});
   }
 }
 
-// Targets that take any grant, whatever its fence, let late grants overtake
-// newer ones. The world has to see that, or it would prove nothing.
-TEST(KeyAssignerProofTest, TargetsWithoutFencingAreFoundOut) {
-  size_t found = 0;
-  for (uint64_t seed = 1; seed <= kSeeds && found == 0; ++seed) {
+// Targets that accept grants whatever their fence let a delayed grant replace a
+// newer one. The simulation must detect this; otherwise the other tests here
+// could not fail.
+TEST(KeyAssignerProofTest, TargetsWithoutFencingAreDetected) {
+  size_t violations = 0;
+  for (uint64_t seed = 1; seed <= kScheduleCount && violations == 0; ++seed) {
     assigner_world world({.hosts = 5,
                           .targets = 6,
                           .seed = seed,
                           .targets_ignore_fences = true});
-    fault_player player(world, seed);
-    player.Play({});
-    found += world.problem().empty() ? 0 : 1;
+    fault_injector injector(world, seed);
+    injector.InjectFaults({});
+    violations += world.problem().empty() ? 0 : 1;
   }
-  EXPECT_GT(found, 0U);
+  EXPECT_GT(violations, 0U);
 }
 
 }  // namespace
