--- a/tests/assigner_lease_test.cc
+++ b/tests/assigner_lease_test.cc
@@ -1,4 +1,4 @@
-// The lease of the host that gives keys, write by write.
+// Tests how the host that assigns keys takes, renews and releases its lease.
 
 #include <gtest/gtest.h>
 
@@ -23,13 +23,13 @@
     ASSERT_TRUE(assigner_.OnObjects({}, now_));
   }
 
-  /// Lets time pass until the assigner writes its lease.
-  store_write UntilLeaseIsWritten() {
+  /// Advances the time until the assigner writes its lease.
+  store_write AdvanceToLeaseWrite() {
     for (int i = 0; i < 1000; ++i) {
       now_ += milliseconds{10};
       assigner_actions actions;
       assigner_.OnTime(now_, actions);
-      if (const auto write = LeaseWrite(actions)) {
+      if (const auto write = FindLeaseWrite(actions)) {
         return *write;
       }
     }
@@ -37,7 +37,7 @@
     return {};
   }
 
-  static std::optional<store_write> LeaseWrite(
+  static std::optional<store_write> FindLeaseWrite(
       const assigner_actions& actions) {
     for (const assigner_action& action : actions) {
       const auto* write = std::get_if<store_write>(&action);
@@ -48,25 +48,28 @@
     return std::nullopt;
   }
 
-  /// Lets some time pass and answers what the assigner sends, but for its maps.
+  /// Advances the time by 10 ms and answers all orders and lease writes, but no
+  /// map writes.
   assigner_actions Step() {
     now_ += milliseconds{10};
     assigner_actions actions;
     assigner_.OnTime(now_, actions);
     AnswerOrders(actions);
-    if (const auto write = LeaseWrite(actions)) {
-      Ended(*write, answer_to_lease_, ++revision_);
+    if (const auto write = FindLeaseWrite(actions)) {
+      ReportWriteEnd(*write, lease_write_answer_, ++revision_);
     }
     return actions;
   }
 
-  /// Answers the orders among `actions`, which grow by what follows from that.
+  /// Answers the orders in `actions` and appends the actions that result. Keeps
+  /// the last map write in `map_write_`.
   void AnswerOrders(assigner_actions& actions) {
     for (size_t i = 0; i < actions.size(); ++i) {
       if (const auto* order = std::get_if<key_order>(&actions[i])) {
-        const bool to_u = order->target.id == "u";
+        const bool is_for_u = order->target.id == "u";
         assigner_.OnOrderEnded(
-            {.id = order->id, .end = to_u ? answer_of_u_ : order_end::kDone},
+            {.id = order->id,
+             .end = is_for_u ? target_u_answer_ : order_end::kDone},
             now_, actions);
       } else if (const auto* write = std::get_if<store_write>(&actions[i])) {
         if (write->name == key_assigner::MapName("s")) {
@@ -76,10 +79,10 @@
     }
   }
 
-  /// Makes the assigner the holder and returns what the store has then.
+  /// Makes the assigner the lease holder and returns the objects in the store.
   key_assigner::own_objects TakeLease() {
-    const store_write lease = UntilLeaseIsWritten();
-    Written(lease, 11);
+    const store_write lease = AdvanceToLeaseWrite();
+    ReportWritten(lease, 11);
     key_assigner::own_objects objects;
     objects["assigner"] = {
         .name = "assigner", .revision = 11, .item = lease.content};
@@ -87,7 +90,7 @@
     return objects;
   }
 
-  static target_entry Target(std::string id) {
+  static target_entry MakeTarget(std::string id) {
     target_entry target;
     target.life = {.id = std::move(id), .started = 1};
     target.service = "s";
@@ -95,8 +98,8 @@
     return target;
   }
 
-  /// Lets time pass until the assigner writes the map of its service.
-  store_write UntilMapIsWritten() {
+  /// Advances the time until the assigner writes the map of its service.
+  store_write AdvanceToMapWrite() {
     for (int i = 0; i < 500 && !map_write_; ++i) {
       Step();
     }
@@ -104,11 +107,13 @@
     return std::exchange(map_write_, std::nullopt).value_or(store_write{});
   }
 
-  /// The store has carried `write` out.
-  void Written(const store_write& write, uint64_t revision) {
-    Ended(write, write_end::kWritten, revision);
+  /// Reports to the assigner that the store executed `write`.
+  void ReportWritten(const store_write& write, uint64_t revision) {
+    ReportWriteEnd(write, write_end::kWritten, revision);
   }
-  void Ended(const store_write& write, write_end end, uint64_t revision) {
+  /// Reports to the assigner how `write` ended.
+  void ReportWriteEnd(const store_write& write, write_end end,
+                      uint64_t revision) {
     assigner_actions actions;
     assigner_.OnWriteEnded(
         {.id = write.id, .end = end, .revision = revision, .content = {}}, now_,
@@ -118,63 +123,67 @@
 
   key_assigner assigner_{{.host = "h", .zone = "z", .address = "1:2"}};
   time_point now_{seconds{100}};
-  order_end answer_of_u_ = order_end::kDone;
-  std::optional<store_write> map_write_;  ///< The last one not answered yet.
-  write_end answer_to_lease_ = write_end::kWritten;
-  uint64_t revision_ = 20;  ///< Of the last lease that Step() had written.
+  order_end target_u_answer_ = order_end::kDone;  ///< To orders for target "u".
+  std::optional<store_write>
+      map_write_;  ///< The last one, until it is returned.
+  write_end lease_write_answer_ = write_end::kWritten;
+  uint64_t revision_ = 20;  ///< Of the last lease write in Step().
 };
 
-// The holder is asked to stop just when it renews its lease, and the store
-// takes the renewal first. A release that is given up then leaves a lease that
-// nobody keeps: the others wait for its silence, and the keys of a target that
-// is lost meanwhile stay unserved for so much longer.
-TEST_F(AssignerLeaseTest, ReleaseThatMeetsItsOwnRenewalIsWrittenAgain) {
-  Written(UntilLeaseIsWritten(), 11);
+// The holder is asked to stop while it renews its lease, and the store executes
+// the renewal first, so that the release conflicts with it. If the holder gave
+// the release up, the lease would stay taken: the other hosts would wait for it
+// to lapse, and keys of a target that is lost meanwhile would have no owner for
+// that much longer.
+TEST_F(AssignerLeaseTest, ReleaseThatConflictsWithOwnRenewalIsRetried) {
+  ReportWritten(AdvanceToLeaseWrite(), 11);
   ASSERT_TRUE(assigner_.IsHolder(now_));
-  const store_write renewal = UntilLeaseIsWritten();
-  assigner_actions leaving;
-  assigner_.Leave(now_, leaving);
-  const auto release = LeaseWrite(leaving);
+  const store_write renewal = AdvanceToLeaseWrite();
+  assigner_actions leave_actions;
+  assigner_.Leave(now_, leave_actions);
+  const auto release = FindLeaseWrite(leave_actions);
   ASSERT_TRUE(release);
-  assigner_actions again;
+  assigner_actions retry_actions;
   assigner_.OnWriteEnded({.id = release->id,
                           .end = write_end::kConflict,
                           .revision = 12,
                           .content = renewal.content},
-                         now_, again);
-  const auto second = LeaseWrite(again);
-  ASSERT_TRUE(second);
-  EXPECT_EQ(second->expected_revision, 12U);
-  EXPECT_TRUE(ParseLease(second->content).value().released);
+                         now_, retry_actions);
+  const auto retry = FindLeaseWrite(retry_actions);
+  ASSERT_TRUE(retry);
+  EXPECT_EQ(retry->expected_revision, 12U);
+  EXPECT_TRUE(ParseLease(retry->content).value().released);
   EXPECT_TRUE(assigner_.BusyLeaving());
-  Written(*second, 13);
+  ReportWritten(*retry, 13);
   EXPECT_FALSE(assigner_.BusyLeaving());
 }
 
-// The same, but another host has taken the lease: there is nothing to release.
-TEST_F(AssignerLeaseTest, ReleaseThatMeetsAnotherHoldersLeaseIsGivenUp) {
-  Written(UntilLeaseIsWritten(), 11);
-  assigner_actions leaving;
-  assigner_.Leave(now_, leaving);
-  const auto release = LeaseWrite(leaving);
+// The release conflicts with the lease of another host, so there is nothing to
+// release.
+TEST_F(AssignerLeaseTest, ReleaseThatConflictsWithOtherHoldersLeaseIsDropped) {
+  ReportWritten(AdvanceToLeaseWrite(), 11);
+  assigner_actions leave_actions;
+  assigner_.Leave(now_, leave_actions);
+  const auto release = FindLeaseWrite(leave_actions);
   ASSERT_TRUE(release);
-  assigner_actions again;
+  assigner_actions retry_actions;
   assigner_.OnWriteEnded(
       {.id = release->id,
        .end = write_end::kConflict,
        .revision = 12,
        .content = FormatLease({.host = "other", .address = "3:4"})},
-      now_, again);
-  EXPECT_FALSE(LeaseWrite(again));
+      now_, retry_actions);
+  EXPECT_FALSE(FindLeaseWrite(retry_actions));
   EXPECT_FALSE(assigner_.BusyLeaving());
 }
 
-// Guards against an old map under the revision of a newer one: written on top
-// of that, it would take the newer owners and their fences back.
-TEST_F(AssignerLeaseTest, AnswerThatComesAfterANewerMapLeavesThatInForce) {
+// A write is answered after a newer map was read. Guards against keeping the
+// old map under the revision of the newer one: the next write would then
+// overwrite the newer owners and their fences.
+TEST_F(AssignerLeaseTest, LateWriteAnswerDoesNotReplaceNewerMap) {
   key_assigner::own_objects objects = TakeLease();
-  assigner_.OnTargets({Target("t")}, false, now_);
-  const store_write first = UntilMapIsWritten();
+  assigner_.OnTargets({MakeTarget("t")}, false, now_);
+  const store_write first = AdvanceToMapWrite();
 
   const key_map newer{
       .last_fence = 90,
@@ -201,34 +210,35 @@
   }
 }
 
-// Guards against a holder that was cut off and, when the store takes its
-// renewal again, gives up all targets whose orders failed in the cut.
-TEST_F(AssignerLeaseTest, RenewalThatEndsACutForgetsTheOrdersThatFailedInIt) {
+// A holder is partitioned from the store and from some targets, then renews its
+// lease. Guards against it considering all targets lost whose orders failed
+// during the partition.
+TEST_F(AssignerLeaseTest, RenewalAfterPartitionForgetsOrdersThatFailedInIt) {
   key_assigner::own_objects objects = TakeLease();
-  assigner_.OnTargets({Target("t"), Target("u")}, false, now_);
-  Written(UntilMapIsWritten(), 12);
-  Written(UntilMapIsWritten(), 13);
-  Written(UntilMapIsWritten(), 14);
+  assigner_.OnTargets({MakeTarget("t"), MakeTarget("u")}, false, now_);
+  ReportWritten(AdvanceToMapWrite(), 12);
+  ReportWritten(AdvanceToMapWrite(), 13);
+  ReportWritten(AdvanceToMapWrite(), 14);
   ASSERT_TRUE(assigner_.MapOf("s")->ranges.front().granted);
   ASSERT_TRUE(assigner_.MapOf("s")->ranges.back().granted);
 
   assigner_.OnStoreAnswers(false, now_);
-  answer_of_u_ = order_end::kUnanswered;
-  answer_to_lease_ = write_end::kUnknown;
+  target_u_answer_ = order_end::kUnanswered;
+  lease_write_answer_ = write_end::kUnknown;
   while (assigner_.IsHolder(now_)) {
     Step();
   }
-  answer_to_lease_ = write_end::kWritten;
+  lease_write_answer_ = write_end::kWritten;
   std::optional<store_write> renewal;
   for (int i = 0; i < 100 && !renewal; ++i) {
-    renewal = LeaseWrite(Step());
+    renewal = FindLeaseWrite(Step());
   }
   ASSERT_TRUE(renewal);
   ASSERT_TRUE(assigner_.IsHolder(now_));
   objects["assigner"] = {
       .name = "assigner", .revision = revision_, .item = renewal->content};
   ASSERT_TRUE(assigner_.OnObjects(objects, now_));
-  answer_of_u_ = order_end::kDone;
+  target_u_answer_ = order_end::kDone;
   for (int i = 0; i < 120; ++i) {
     for (const assigner_action& action : Step()) {
       const auto* note = std::get_if<assigner_note>(&action);
@@ -239,55 +249,59 @@
   }
 }
 
-// All hosts learn of the declarations at the same moment. If they all tried to
-// take the free lease then, a hundred writes would be paid for where a few do.
-TEST_F(AssignerLeaseTest, FreeLeaseIsTakenAfterTheHostsOwnDelay) {
-  key_assigner late({.host = "l", .zone = "z", .address = "1:3", .seed = 63});
-  late.OnStoreAnswers(true, now_);
-  ASSERT_TRUE(late.OnObjects({}, now_));
+// All hosts learn of the services at the same moment. If they all tried to take
+// the free lease at once, 100 hosts would cause 100 store writes instead of a
+// few. Each host therefore waits for a delay that depends on its seed.
+TEST_F(AssignerLeaseTest, FreeLeaseIsTakenAfterHostSpecificDelay) {
+  key_assigner delayed_host(
+      {.host = "l", .zone = "z", .address = "1:3", .seed = 63});
+  delayed_host.OnStoreAnswers(true, now_);
+  ASSERT_TRUE(delayed_host.OnObjects({}, now_));
   assigner_actions actions;
   now_ += seconds{5};
-  late.OnTime(now_, actions);
-  late.OnServices({});
-  late.OnTime(now_, actions);
-  EXPECT_FALSE(LeaseWrite(actions));
+  delayed_host.OnTime(now_, actions);
+  delayed_host.OnServices({});
+  delayed_host.OnTime(now_, actions);
+  EXPECT_FALSE(FindLeaseWrite(actions));
   now_ += milliseconds{500};
-  late.OnTime(now_, actions);
-  EXPECT_TRUE(LeaseWrite(actions));
+  delayed_host.OnTime(now_, actions);
+  EXPECT_TRUE(FindLeaseWrite(actions));
 }
 
-// A host with a narrow link starts first. The lease is better held by one that
-// can tell all others of each change.
-TEST_F(AssignerLeaseTest, HostWithANarrowLinkLeavesTheLeaseToOthersFirst) {
-  key_assigner narrow(
+// A host with a low-bandwidth link starts first. It waits longer before it
+// takes the lease, because the holder must be able to send each change to all
+// hosts.
+TEST_F(AssignerLeaseTest, HostWithLowBandwidthTakesLeaseLater) {
+  key_assigner low_bandwidth_host(
       {.host = "n", .zone = "z", .address = "1:3", .link_mbps = 10, .seed = 0});
-  narrow.OnStoreAnswers(true, now_);
-  narrow.OnServices({});
-  ASSERT_TRUE(narrow.OnObjects({}, now_));
+  low_bandwidth_host.OnStoreAnswers(true, now_);
+  low_bandwidth_host.OnServices({});
+  ASSERT_TRUE(low_bandwidth_host.OnObjects({}, now_));
   assigner_actions actions;
-  narrow.OnTime(now_, actions);
+  low_bandwidth_host.OnTime(now_, actions);
   now_ += milliseconds{500};
-  narrow.OnTime(now_, actions);
-  EXPECT_FALSE(LeaseWrite(actions));
+  low_bandwidth_host.OnTime(now_, actions);
+  EXPECT_FALSE(FindLeaseWrite(actions));
   now_ += milliseconds{500};
-  narrow.OnTime(now_, actions);
-  EXPECT_TRUE(LeaseWrite(actions)) << "but one must hold it";
+  low_bandwidth_host.OnTime(now_, actions);
+  EXPECT_TRUE(FindLeaseWrite(actions))
+      << "the host did not take a lease that no other host took";
 }
 
-// Something else has written over the system's own objects. What this host
-// knows stays in force, and the operator must learn of it, or keys without an
-// owner would have no cause that anyone can find.
-TEST_F(AssignerLeaseTest, ObjectThatCannotBeReadIsReported) {
+// The router's own objects were overwritten with invalid content. The host
+// keeps what it read before and must report the error; otherwise an operator
+// could not find out why keys have no owner.
+TEST_F(AssignerLeaseTest, UnreadableObjectIsReported) {
   const std::string map = key_assigner::MapName("s");
-  const status records = assigner_.OnObjects(
+  const status map_status = assigner_.OnObjects(
       {{map, {.name = map, .revision = 5, .item = "[}"}}}, now_);
-  ASSERT_FALSE(records);
-  EXPECT_NE(records.error().Message().find(map), std::string::npos);
+  ASSERT_FALSE(map_status);
+  EXPECT_NE(map_status.error().Message().find(map), std::string::npos);
   const std::string lease{key_assigner::kLeaseName};
-  const status taken = assigner_.OnObjects(
+  const status lease_status = assigner_.OnObjects(
       {{lease, {.name = lease, .revision = 6, .item = "none"}}}, now_);
-  ASSERT_FALSE(taken);
-  EXPECT_NE(taken.error().Message().find(lease), std::string::npos);
+  ASSERT_FALSE(lease_status);
+  EXPECT_NE(lease_status.error().Message().find(lease), std::string::npos);
 }
 
 }  // namespace
--- a/tests/assigner_sharing_test.cc
+++ b/tests/assigner_sharing_test.cc
@@ -1,4 +1,4 @@
-// What the holder of the lease tells the other hosts.
+// Tests what the lease holder sends to the other hosts.
 
 #include <gtest/gtest.h>
 
@@ -26,9 +26,9 @@
     assigner_.OnStoreAnswers(true, now_);
   }
 
-  /// The answer to a write that the store carried out.
-  void Written(const store_write& write, uint64_t revision,
-               assigner_actions& out) {
+  /// Reports to the assigner that the store executed `write`.
+  void ReportWritten(const store_write& write, uint64_t revision,
+                     assigner_actions& out) {
     assigner_.OnWriteEnded({.id = write.id,
                             .end = write_end::kWritten,
                             .revision = revision,
@@ -36,16 +36,16 @@
                            now_, out);
   }
 
-  /// The holder's watch brings what was written.
-  void Watch(const store_write& write, uint64_t revision) {
+  /// Delivers the written object to the holder through its watch on the store.
+  void DeliverWatchedObject(const store_write& write, uint64_t revision) {
     objects_[write.name] = {
         .name = write.name, .revision = revision, .item = write.content};
     ASSERT_TRUE(assigner_.OnObjects(objects_, now_));
   }
 
-  /// Lets time pass until the holder writes an object whose name is not the
-  /// lease's; lease writes on the way succeed.
-  store_write UntilRecordIsWritten() {
+  /// Advances the time until the holder writes a key map record. Lease writes
+  /// succeed meanwhile.
+  store_write AdvanceToRecordWrite() {
     for (int i = 0; i < 1000; ++i) {
       now_ += milliseconds{10};
       assigner_actions actions;
@@ -60,8 +60,8 @@
         if (write->name.starts_with("keys")) {
           return *write;
         }
-        Written(*write, ++revision_, actions);
-        Watch(*write, revision_);
+        ReportWritten(*write, ++revision_, actions);
+        DeliverWatchedObject(*write, revision_);
       }
     }
     ADD_FAILURE() << "no record was written";
@@ -74,19 +74,19 @@
   key_assigner::own_objects objects_;
 };
 
-// The holder's own watch brings the new record before the answer to the write
-// does. The others must still be told what changed; else each of them reads
-// the whole record from the store.
-TEST_F(AssignerSharingTest, ChangesAreToldAlsoIfTheWatchIsFasterThanTheWrite) {
-  const store_write write = UntilRecordIsWritten();
+// The holder receives its new record from its watch before the store answers
+// the write. It must still send the changes to the other hosts; otherwise each
+// of them reads the whole record from the store.
+TEST_F(AssignerSharingTest, ChangesAreSentIfWatchPrecedesWriteAnswer) {
+  const store_write write = AdvanceToRecordWrite();
   const uint64_t revision = ++revision_;
-  Watch(write, revision);
+  DeliverWatchedObject(write, revision);
   assigner_actions actions;
-  Written(write, revision, actions);
+  ReportWritten(write, revision, actions);
   const share_action* share = nullptr;
   for (const assigner_action& action : actions) {
-    const auto* found = std::get_if<share_action>(&action);
-    share = found != nullptr ? found : share;
+    const auto* candidate = std::get_if<share_action>(&action);
+    share = candidate != nullptr ? candidate : share;
   }
   ASSERT_NE(share, nullptr);
   EXPECT_EQ(share->record.base, write.expected_revision);
@@ -96,26 +96,27 @@
   EXPECT_FALSE(changes.value().ranges.empty());
 }
 
-// The same order. A heartbeat that told of the new record before its changes
-// were sent made a hundred hosts at once read the record from the store.
-TEST_F(AssignerSharingTest, RecordIsNotAnnouncedBeforeItsChangesAreTold) {
-  const store_write write = UntilRecordIsWritten();
+// The holder receives its new record from its watch before the store answers
+// the write. A heartbeat that announced the record before its changes were sent
+// made a hundred hosts read the record from the store at once.
+TEST_F(AssignerSharingTest, RecordIsNotAnnouncedBeforeItsChangesAreSent) {
+  const store_write write = AdvanceToRecordWrite();
   const uint64_t announced = assigner_.OwnersDigest();
   const uint64_t revision = ++revision_;
-  Watch(write, revision);
+  DeliverWatchedObject(write, revision);
   EXPECT_EQ(assigner_.OwnersDigest(), announced);
   assigner_actions actions;
-  Written(write, revision, actions);
+  ReportWritten(write, revision, actions);
   EXPECT_NE(assigner_.OwnersDigest(), announced);
   EXPECT_EQ(assigner_.MapRevision("s"), revision);
 }
 
-// All hosts share a budget of repeats and the connections that a target takes.
-// The lease names their number as it was when it was first written: one. Hosts
-// that go by it each use the whole budget, and callers' repeats keep a service
-// overloaded.
-TEST_F(AssignerSharingTest, HeartbeatsCarryTheNumberOfHosts) {
-  UntilRecordIsWritten();
+// All hosts share the retry budget and the connections that a
+// target accepts. The lease contains the number of hosts at its first write,
+// which is one. If hosts used that number, each would spend the whole budget,
+// and retries would keep the service overloaded.
+TEST_F(AssignerSharingTest, HeartbeatsContainNumberOfHosts) {
+  AdvanceToRecordWrite();
   for (int i = 0; i < 12; ++i) {
     const std::string name = "other-" + std::to_string(i);
     assigner_.OnReport({.host = name,
@@ -128,23 +129,24 @@
   now_ += seconds{1};
   assigner_actions actions;
   assigner_.OnTime(now_, actions);
-  size_t heartbeats = 0;
+  size_t receivers = 0;
   for (const assigner_action& action : actions) {
     if (const auto* heartbeat = std::get_if<heartbeat_action>(&action)) {
       EXPECT_EQ(heartbeat->heartbeat.hosts, 12U);
       for (const fanout_hop& hop : heartbeat->hops) {
-        heartbeats += 1 + hop.forward_to.size();
+        receivers += 1 + hop.forward_to.size();
       }
     }
   }
-  EXPECT_EQ(heartbeats, 12U);
+  EXPECT_EQ(receivers, 12U);
 }
 
-// The holder is lost. Its successor knows no host but itself: all others report
-// to the lost one until they read in the store who holds the lease now, all at
-// the same moment.
-TEST_F(AssignerSharingTest, SuccessorHeartbeatsToTheHostsThatTheHolderKnew) {
-  UntilRecordIsWritten();
+// The holder is lost, and its successor has received no load reports: the other
+// hosts send them to the lost holder until they read the new lease from the
+// store, all at the same moment. The successor must therefore send heartbeats
+// to the hosts in the list that the holder sent it.
+TEST_F(AssignerSharingTest, SuccessorSendsHeartbeatsToHostsOfFormerHolder) {
+  AdvanceToRecordWrite();
   for (int i = 0; i < 12; ++i) {
     assigner_.OnReport({.host = "other-" + std::to_string(i),
                         .zone = "z",
@@ -156,50 +158,54 @@
   now_ += seconds{2};
   assigner_actions actions;
   assigner_.OnTime(now_, actions);
-  const hosts_action* told = nullptr;
+  const hosts_action* host_list = nullptr;
   const heartbeat_action* heartbeat = nullptr;
   for (const assigner_action& action : actions) {
-    const auto* hosts = std::get_if<hosts_action>(&action);
-    const auto* heartbeats = std::get_if<heartbeat_action>(&action);
-    told = hosts != nullptr ? hosts : told;
-    heartbeat = heartbeats != nullptr ? heartbeats : heartbeat;
+    const auto* hosts_candidate = std::get_if<hosts_action>(&action);
+    const auto* heartbeat_candidate = std::get_if<heartbeat_action>(&action);
+    host_list = hosts_candidate != nullptr ? hosts_candidate : host_list;
+    heartbeat =
+        heartbeat_candidate != nullptr ? heartbeat_candidate : heartbeat;
   }
-  ASSERT_NE(told, nullptr);
+  ASSERT_NE(host_list, nullptr);
   ASSERT_NE(heartbeat, nullptr);
-  const auto read = ParseHostMessage(FormatHostMessage(told->record));
-  EXPECT_EQ(std::get<hosts_record>(read.value()), told->record);
+  const auto parsed = ParseHostMessage(FormatHostMessage(host_list->record));
+  EXPECT_EQ(std::get<hosts_record>(parsed.value()), host_list->record);
 
   // The successor takes the lease from the silent holder.
-  key_assigner next({.host = heartbeat->heartbeat.successors.front(),
-                     .zone = "z",
-                     .address = "1:0"});
-  next.OnServices({testing::KeyedService("s")});
-  ASSERT_TRUE(next.OnObjects(objects_, now_));
-  next.OnStoreAnswers(true, now_);
-  next.OnHeartbeat(heartbeat->heartbeat, now_);
-  next.OnHosts(told->record, now_);
-  size_t reached = 0;
-  for (int i = 0; i < 200 && reached == 0; ++i) {
+  key_assigner successor({.host = heartbeat->heartbeat.successors.front(),
+                          .zone = "z",
+                          .address = "1:0"});
+  successor.OnServices({testing::KeyedService("s")});
+  ASSERT_TRUE(successor.OnObjects(objects_, now_));
+  successor.OnStoreAnswers(true, now_);
+  successor.OnHeartbeat(heartbeat->heartbeat, now_);
+  successor.OnHosts(host_list->record, now_);
+  size_t hop_count = 0;
+  for (int i = 0; i < 200 && hop_count == 0; ++i) {
     now_ += milliseconds{10};
-    assigner_actions taken;
-    next.OnTime(now_, taken);
-    for (size_t each = 0; each < taken.size(); ++each) {
-      const assigner_action action = taken[each];
+    assigner_actions actions_of_successor;
+    successor.OnTime(now_, actions_of_successor);
+    for (size_t k = 0; k < actions_of_successor.size(); ++k) {
+      const assigner_action action = actions_of_successor[k];
       if (const auto* write = std::get_if<store_write>(&action)) {
-        next.OnWriteEnded({.id = write->id,
-                           .end = write_end::kWritten,
-                           .revision = ++revision_,
-                           .content = {}},
-                          now_, taken);
-      } else if (const auto* first = std::get_if<heartbeat_action>(&action)) {
-        reached = first->hops.size();
+        successor.OnWriteEnded({.id = write->id,
+                                .end = write_end::kWritten,
+                                .revision = ++revision_,
+                                .content = {}},
+                               now_, actions_of_successor);
+      } else if (const auto* sent = std::get_if<heartbeat_action>(&action)) {
+        hop_count = sent->hops.size();
       }
     }
   }
-  EXPECT_EQ(reached, 11U) << "all but itself";
+  EXPECT_EQ(hop_count, 11U)
+      << "heartbeats do not go to all hosts but the successor";
 }
 
-TEST_F(AssignerSharingTest, NumberOfHostsInAHeartbeatGoesBeforeTheLeases) {
+// Guards against hosts using the number of hosts in the lease, which is not
+// kept up to date.
+TEST_F(AssignerSharingTest, HostCountInHeartbeatOverridesHostCountInLease) {
   key_assigner other({.host = "o", .zone = "z", .address = "1:4"});
   ASSERT_TRUE(other.OnObjects(
       {{"assigner",
@@ -213,11 +219,12 @@
   EXPECT_EQ(other.HostCount(), 12U);
 }
 
-// Most hosts have narrow links, and they report first. A holder among them
-// loses what it tells the others, and each of them reads the store instead.
-TEST_F(AssignerSharingTest, HostsWithWideLinksAreSuccessors) {
-  UntilRecordIsWritten();
-  const auto report = [&](const std::string& name, double link_mbps) {
+// Most hosts have low-bandwidth links, and they send their load reports first.
+// If one of them became the holder, the changes it sends would be lost, and
+// each other host would read the store instead.
+TEST_F(AssignerSharingTest, HostsWithHighBandwidthAreSuccessors) {
+  AdvanceToRecordWrite();
+  const auto send_report = [&](const std::string& name, double link_mbps) {
     assigner_.OnReport({.host = name,
                         .zone = name.substr(0, 1),
                         .address = "1:3",
@@ -226,7 +233,7 @@
                         .targets = {}},
                        now_);
   };
-  const auto successors = [&] {
+  const auto next_successors = [&] {
     now_ += seconds{1};
     assigner_actions actions;
     assigner_.OnTime(now_, actions);
@@ -235,16 +242,17 @@
         return heartbeat->heartbeat.successors;
       }
     }
-    ADD_FAILURE() << "no heartbeat";
+    ADD_FAILURE() << "no heartbeat was sent";
     return std::vector<std::string>{};
   };
-  report("a-narrow", 10);
-  report("b-narrow", 10);
-  EXPECT_EQ(successors().size(), 2U) << "better a narrow one than none";
-  report("a-narrow", 10);
-  report("a-wide", 200);
-  report("b-wide", 200);
-  EXPECT_EQ(successors(), (std::vector<std::string>{"a-wide", "b-wide"}));
+  send_report("a-slow", 10);
+  send_report("b-slow", 10);
+  EXPECT_EQ(next_successors().size(), 2U)
+      << "hosts with low bandwidth must be successors if there are no others";
+  send_report("a-slow", 10);
+  send_report("a-fast", 200);
+  send_report("b-fast", 200);
+  EXPECT_EQ(next_successors(), (std::vector<std::string>{"a-fast", "b-fast"}));
 }
 
 }  // namespace
