--- a/tests/assigner_sharing_test.cc
+++ b/tests/assigner_sharing_test.cc
@@ -245,14 +245,14 @@
     ADD_FAILURE() << "no heartbeat was sent";
     return std::vector<std::string>{};
   };
-  send_report("a-slow", 10);
-  send_report("b-slow", 10);
+  send_report("a-narrow", 10);
+  send_report("b-narrow", 10);
   EXPECT_EQ(next_successors().size(), 2U)
       << "hosts with low bandwidth must be successors if there are no others";
-  send_report("a-slow", 10);
-  send_report("a-fast", 200);
-  send_report("b-fast", 200);
-  EXPECT_EQ(next_successors(), (std::vector<std::string>{"a-fast", "b-fast"}));
+  send_report("a-narrow", 10);
+  send_report("a-wide", 200);
+  send_report("b-wide", 200);
+  EXPECT_EQ(next_successors(), (std::vector<std::string>{"a-wide", "b-wide"}));
 }
 
 }  // namespace
