--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -14,7 +14,7 @@
 namespace foxtailspread {
 namespace {
 
-/// A range whose owners follow the plans made for it.
+/// A range to which placement plans can be applied.
 struct placed_range {
   std::vector<double> loads;
   std::vector<target_index> owners;
@@ -39,17 +39,19 @@
       }
       for (hot_key& key : keys) {
         if (key.key_hash == move.key_hash) {
-          const target_index home = owners[static_cast<size_t>(key.bucket)];
-          key.owner = move.to == home ? kNoTarget : move.to;
+          const target_index bucket_owner =
+              owners[static_cast<size_t>(key.bucket)];
+          key.owner = move.to == bucket_owner ? kNoTarget : move.to;
         }
       }
     }
   }
 
-  /// Plans and applies until nothing moves; returns the number of moves.
-  int Settle(int most_rounds) {
+  /// Applies plans until one is empty. Returns the number of moves, or -1 if
+  /// the plans don't converge within `max_rounds`.
+  int ApplyPlansUntilStable(int max_rounds) {
     int moves = 0;
-    for (int round = 0; round < most_rounds; ++round) {
+    for (int round = 0; round < max_rounds; ++round) {
       const std::vector<placement_move> plan = Plan();
       if (plan.empty()) {
         return moves;
@@ -60,6 +62,7 @@
     return -1;
   }
 
+  /// Returns the highest target load divided by the mean.
   double Imbalance() const {
     std::vector<double> by_target(targets.size());
     for (size_t b = 0; b < owners.size(); ++b) {
@@ -67,8 +70,8 @@
     }
     for (const hot_key& key : keys) {
       if (key.owner != kNoTarget) {
-        const auto home = owners[static_cast<size_t>(key.bucket)];
-        by_target[static_cast<size_t>(home)] -= key.load;
+        const auto bucket_owner = owners[static_cast<size_t>(key.bucket)];
+        by_target[static_cast<size_t>(bucket_owner)] -= key.load;
         by_target[static_cast<size_t>(key.owner)] += key.load;
       }
     }
@@ -80,16 +83,17 @@
   }
 };
 
-placed_range EvenRange(size_t buckets, size_t targets) {
+placed_range BalancedRange(size_t buckets, size_t targets) {
   placed_range range;
   range.loads.assign(buckets, 10);
   range.owners.assign(buckets, kNoTarget);
   range.targets.assign(targets, {.usable = true, .weight = 1});
-  range.Settle(10);
+  range.ApplyPlansUntilStable(10);
   return range;
 }
 
-RC_GTEST_PROP(PlacementPropertyTest, PlansServeAllStayBoundedAndSettle, ()) {
+RC_GTEST_PROP(PlacementPropertyTest,
+              PlansAssignAllBucketsWithinMoveLimitAndConverge, ()) {
   const auto buckets = *rc::gen::inRange<size_t>(1, 80);
   const auto count = *rc::gen::inRange<size_t>(1, 8);
   placed_range range;
@@ -100,11 +104,11 @@
   for (size_t b = 0; b < buckets; ++b) {
     range.owners.push_back(*rc::gen::inRange(-1, static_cast<int>(count)));
   }
-  bool any = false;
+  bool any_usable = false;
   for (size_t t = 0; t < count; ++t) {
     range.targets.push_back({.usable = *rc::gen::inRange(0, 4) != 0,
                              .weight = 1.0 * *rc::gen::inRange(1, 4)});
-    any = any || range.targets.back().usable;
+    any_usable = any_usable || range.targets.back().usable;
   }
   const auto hot = *rc::gen::inRange<uint64_t>(0, 4);
   for (uint64_t k = 0; k < hot; ++k) {
@@ -115,16 +119,16 @@
   }
   const auto before = range.owners;
   const auto plan = range.Plan(5);
-  int for_balance = 0;
+  int balance_moves = 0;
   for (const placement_move& move : plan) {
     RC_ASSERT(range.targets[static_cast<size_t>(move.to)].usable);
     const bool lost = move.from == kNoTarget ||
                       !range.targets[static_cast<size_t>(move.from)].usable;
-    for_balance += lost ? 0 : 1;
+    balance_moves += lost ? 0 : 1;
   }
-  RC_ASSERT(for_balance <= 5);
+  RC_ASSERT(balance_moves <= 5);
   range.Apply(plan);
-  if (!any) {
+  if (!any_usable) {
     RC_ASSERT(plan.empty());
     return;
   }
@@ -132,14 +136,14 @@
     RC_ASSERT(owner != kNoTarget);
     RC_ASSERT(range.targets[static_cast<size_t>(owner)].usable);
   }
-  // No oscillation: with the same loads the plans come to an end.
-  RC_ASSERT(range.Settle(200) >= 0);
+  // With unchanged loads the plans must converge, not oscillate.
+  RC_ASSERT(range.ApplyPlansUntilStable(200) >= 0);
 }
 
-// One target of five is lost. Every bucket that moves besides its own ones
-// is a key that was unavailable for nothing.
-TEST(PlacementTest, LossMovesOnlyTheBucketsOfTheLostTarget) {
-  placed_range range = EvenRange(250, 5);
+// Guards against unnecessary moves when one of five targets is lost: the keys
+// of a bucket are unavailable while it moves.
+TEST(PlacementTest, TargetLossMovesOnlyBucketsOfThatTarget) {
+  placed_range range = BalancedRange(250, 5);
   range.targets[2].usable = false;
   const auto plan = range.Plan();
   EXPECT_EQ(plan.size(), 50U);
@@ -154,49 +158,49 @@
   EXPECT_LT(range.Imbalance(), 1.1);
 }
 
-TEST(PlacementTest, JoinMovesNoMoreThanATenthAboveTheLeast) {
-  placed_range range = EvenRange(240, 5);
+TEST(PlacementTest, TargetJoinMovesAtMostTenPercentAboveMinimum) {
+  placed_range range = BalancedRange(240, 5);
   range.targets.push_back({.usable = true, .weight = 1});
-  const int moves = range.Settle(50);
+  const int moves = range.ApplyPlansUntilStable(50);
   EXPECT_GT(moves, 0);
-  EXPECT_LE(moves, 44);  // the least is 240 / 6 = 40
+  EXPECT_LE(moves, 44);  // the minimum is 240 / 6 = 40
   EXPECT_LT(range.Imbalance(), 1.1);
 }
 
-// The load is measured anew each second and each time a little off. A target
-// near the limit must not have its buckets sent to and fro.
-TEST(PlacementTest, NoiseOfTheMeasurementMovesNothing) {
-  placed_range range = EvenRange(256, 4);
+// The load is measured every second with some error. The buckets of a target
+// near the threshold must not move back and forth because of it.
+TEST(PlacementTest, MeasurementNoiseCausesNoMoves) {
+  placed_range range = BalancedRange(256, 4);
   std::mt19937 random(7);
-  std::uniform_real_distribution<double> noisy(8, 12);
+  std::uniform_real_distribution<double> noisy_load(8, 12);
   for (int round = 0; round < 50; ++round) {
     for (double& load : range.loads) {
-      load = noisy(random);
+      load = noisy_load(random);
     }
     EXPECT_TRUE(range.Plan().empty());
   }
 }
 
-// Two storefronts in one bucket become hot. Moving the bucket only carries
-// the pile to another target; one key has to go alone.
-TEST(PlacementTest, HotKeysOfOneBucketArePlacedApart) {
-  placed_range range = EvenRange(64, 4);
+// Two keys of one bucket become hot. Moving the whole bucket only moves the
+// overload to another target; one of the keys must move alone.
+TEST(PlacementTest, HotKeysOfOneBucketAreSeparated) {
+  placed_range range = BalancedRange(64, 4);
   range.loads[7] = 10 + 300;
   range.keys = {{1, 7, 150, kNoTarget}, {2, 7, 150, kNoTarget}};
   EXPECT_GT(range.Imbalance(), 1.5);
-  EXPECT_GE(range.Settle(50), 1);
+  EXPECT_GE(range.ApplyPlansUntilStable(50), 1);
   EXPECT_LT(range.Imbalance(), 1.1);
 }
 
 TEST(PlacementTest, CooledKeyReturnsToItsBucket) {
-  placed_range range = EvenRange(64, 4);
-  const target_index home = range.owners[7];
-  range.keys = {{1, 7, 0.1, (home + 1) % 4}};
-  EXPECT_EQ(range.Settle(5), 1);
+  placed_range range = BalancedRange(64, 4);
+  const target_index bucket_owner = range.owners[7];
+  range.keys = {{1, 7, 0.1, (bucket_owner + 1) % 4}};
+  EXPECT_EQ(range.ApplyPlansUntilStable(5), 1);
   EXPECT_EQ(range.keys[0].owner, kNoTarget);
 }
 
-TEST(PlacementTest, ZonesGetBucketsByTheirTargets) {
+TEST(PlacementTest, ZonesGetBucketsInProportionToTargets) {
   const std::vector<zone_weight> zones{
       {"dubrava", 3}, {"trnje", 3}, {"sesvete", 2}, {"novi-zagreb", 4}};
   const std::vector<int> assigned = AssignZones(768, zones);
@@ -216,13 +220,13 @@
   for (size_t b = 0; b < before.size(); ++b) {
     moved += before[b] != after[b] ? 1 : 0;
   }
-  const int least = 1024 * 4 / 13 - 1024 / 4;
-  EXPECT_LE(moved, least * 1.5);
+  const int min_moved = 1024 * 4 / 13 - 1024 / 4;
+  EXPECT_LE(moved, min_moved * 1.5);
 }
 
-// Yesterday's hot key has the larger count. It must not hide the one that
-// counter staff ask for now.
-TEST(HotKeySketchTest, DecayLetsTheNewHotKeyLead) {
+// A key that was hot earlier has the larger count. It must not hide the key
+// that is hot now.
+TEST(HotKeySketchTest, NewHotKeyOvertakesDecayedKey) {
   hot_key_sketch sketch(16);
   for (int i = 0; i < 5000; ++i) {
     sketch.Record(1, 1);
