--- a/include/foxtailspread/burn.h
+++ b/include/foxtailspread/burn.h
@@ -2,13 +2,13 @@
 #define FOXTAILSPREAD_BURN_H_
 
 /// @file
-/// Service-level burn: how fast each organisation's error budget for each
-/// service is being spent.
+/// Error budget burn rates per organisation and service.
 ///
-/// A burn rate of 1 spends exactly the budget of the objective; at a target of
-/// 0.99, a rate of 10 means that one request in ten misses. The short window
-/// shows that something is wrong now, the long one that it matters: alert on
-/// both together.
+/// A burn rate of 1 uses up exactly the error budget of the service level
+/// objective; at a target of 0.99, a rate of 10 means that one request in ten
+/// misses the objective. A high rate in the short window shows that the problem
+/// is current, a high rate in the long window that it is significant. Alert
+/// only if both are high.
 
 #include <cstdint>
 #include <map>
@@ -26,52 +26,55 @@
 
 inline constexpr duration kBurnShortWindow{std::chrono::minutes{5}};
 inline constexpr duration kBurnLongWindow{std::chrono::hours{1}};
-/// The grain at which counts leave the windows.
+/// Requests are counted per interval of this length; counts leave the windows
+/// one interval at a time.
 inline constexpr duration kBurnBucket{std::chrono::seconds{15}};
 
 /// Requests in one window.
 struct burn_counts {
-  uint64_t good = 0;   ///< Met the objective.
-  uint64_t total = 0;  ///< All that count against it.
+  uint64_t good = 0;   ///< Requests that met the objective.
+  uint64_t total = 0;  ///< All requests to which the objective applies.
 
   bool operator==(const burn_counts&) const = default;
 };
 
-/// Returns how many times faster than permitted the budget of an objective of
-/// `target` is spent; 0 without requests.
+/// Returns the fraction of requests that missed the objective, divided by the
+/// fraction that `target` permits to miss; 0 without requests.
 double BurnRate(const burn_counts& counts, double target);
 
-/// Returns the part of the budget that these counts leave, 1 to below 0 when
-/// it is overspent; 1 without requests.
+/// Returns the fraction of the error budget that is left: 1 if none is used or
+/// there are no requests, below 0 if it is exceeded.
 double BudgetLeft(const burn_counts& counts, double target);
 
-/// One organisation's use of one service.
+/// The counts of one organisation's requests to one service.
 struct burn_row {
   std::string organisation;
   std::string service;
-  double target = 0.99;
+  double target = 0.99;  ///< Fraction of requests that must be good.
   burn_counts short_window;
   burn_counts long_window;
 
   bool operator==(const burn_row&) const = default;
 };
 
-/// Adds up the rows of several hosts, by organisation and service. Exact,
-/// since rows carry counts and not rates; for a target that differs between
-/// hosts while a change spreads, the stricter one holds.
+/// Sums the rows of several hosts by organisation and service. The result is
+/// exact, since rows hold counts rather than rates. While a change of a target
+/// is spreading, hosts may have different targets; the strictest one is used.
 std::vector<burn_row> MergeBurn(std::span<const std::vector<burn_row>> hosts);
 
-/// Writes rows with their rates and the budget left in the long window.
+/// Converts rows to JSON, with their burn rates and the error budget left in
+/// the long window.
 nlohmann::json BurnToJson(std::span<const burn_row> rows);
 
-/// Reads what BurnToJson wrote, on another host for instance; kMalformed if
-/// it is something else.
+/// Parses the output of BurnToJson, for example from another host. Returns
+/// kMalformed for any other JSON.
 result<std::vector<burn_row>> BurnFromJson(const nlohmann::json& json);
 
-/// Counts the requests of one host.
+/// Counts the requests of one host for burn rates.
 ///
-/// Holds at most `max_rows` pairs of organisation and service, 3,840 bytes of
-/// counts each; requests of further pairs are only counted in `uncounted`.
+/// Holds at most `max_rows` pairs of organisation and service, with 3,840 bytes
+/// of counts each. Requests of further pairs are only counted in
+/// `uncounted_requests`.
 ///
 /// @code
 /// ledger.SetTarget("deposits", 0.999);
@@ -82,25 +85,26 @@
  public:
   explicit burn_ledger(size_t max_rows = 4096) : max_rows_(max_rows) {}
 
-  /// Sets the objective's target of a service, 0 <= target < 1.
+  /// Sets the target of a service's objective, 0 <= target < 1.
   void SetTarget(std::string_view service, double target);
 
   /// Counts one request; `now` must not go backwards.
   void Record(time_point now, std::string_view organisation,
               std::string_view service, bool good);
 
-  /// What one organisation may see: its own rows and no others.
+  /// Returns the rows of one organisation, the only ones that it may see.
   std::vector<burn_row> RowsOf(time_point now,
                                std::string_view organisation) const;
 
-  /// All rows, for operators.
+  /// Returns the rows of all organisations, for operators.
   std::vector<burn_row> AllRows(time_point now) const;
 
+  /// Returns the number of requests left out because all rows were in use.
   uint64_t uncounted() const { return uncounted_; }
 
  private:
   struct bucket {
-    int64_t number = -1;  // of kBurnBucket since the clock's zero
+    int64_t number = -1;  // intervals since the clock's epoch, -1 if unused
     uint32_t good = 0;
     uint32_t total = 0;
   };
--- a/src/core/burn.cc
+++ b/src/core/burn.cc
@@ -5,14 +5,14 @@
 namespace foxtailspread {
 namespace {
 
-constexpr double kDefaultTarget = 0.99;
-constexpr size_t kBuckets = kBurnLongWindow / kBurnBucket;
+constexpr double kDefaultObjectiveTarget = 0.99;
+constexpr size_t kRingSize = kBurnLongWindow / kBurnBucket;
 
-int64_t BucketNumber(time_point now) {
+int64_t IntervalNumber(time_point now) {
   return now.time_since_epoch() / kBurnBucket;
 }
 
-void Add(const burn_counts& from, burn_counts& to) {
+void AddCounts(const burn_counts& from, burn_counts& to) {
   to.good += from.good;
   to.total += from.total;
 }
@@ -55,15 +55,15 @@
   std::map<std::pair<std::string, std::string>, burn_row> merged;
   for (const std::vector<burn_row>& rows : hosts) {
     for (const burn_row& row : rows) {
-      const auto [place, is_new] =
+      const auto [merged_row, inserted] =
           merged.try_emplace({row.organisation, row.service}, row);
-      if (is_new) {
+      if (inserted) {
         continue;
       }
-      burn_row& sum = place->second;
+      burn_row& sum = merged_row->second;
       sum.target = std::max(sum.target, row.target);
-      Add(row.short_window, sum.short_window);
-      Add(row.long_window, sum.long_window);
+      AddCounts(row.short_window, sum.short_window);
+      AddCounts(row.long_window, sum.long_window);
     }
   }
   std::vector<burn_row> rows;
@@ -114,27 +114,28 @@
       ++uncounted_;
       return;
     }
-    row = rows_.emplace(key, ring(kBuckets)).first;
+    row = rows_.emplace(key, ring(kRingSize)).first;
   }
-  const int64_t number = BucketNumber(now);
-  bucket& current = row->second[static_cast<size_t>(number) % kBuckets];
-  if (current.number != number) {
-    current = {number, 0, 0};
+  const int64_t number = IntervalNumber(now);
+  bucket& current_interval =
+      row->second[static_cast<size_t>(number) % kRingSize];
+  if (current_interval.number != number) {
+    current_interval = {number, 0, 0};
   }
-  ++current.total;
+  ++current_interval.total;
   if (good) {
-    ++current.good;
+    ++current_interval.good;
   }
 }
 
 burn_counts burn_ledger::CountsWithin(const ring& buckets, time_point now,
                                       duration window) {
-  const int64_t newest = BucketNumber(now);
+  const int64_t newest = IntervalNumber(now);
   const int64_t oldest = newest - window / kBurnBucket + 1;
   burn_counts counts;
   for (const bucket& b : buckets) {
     if (b.number >= oldest && b.number <= newest) {
-      Add({b.good, b.total}, counts);
+      AddCounts({b.good, b.total}, counts);
     }
   }
   return counts;
@@ -146,7 +147,8 @@
   row.organisation = key.first;
   row.service = key.second;
   const auto target = targets_.find(row.service);
-  row.target = target == targets_.end() ? kDefaultTarget : target->second;
+  row.target =
+      target == targets_.end() ? kDefaultObjectiveTarget : target->second;
   row.short_window = CountsWithin(buckets, now, kBurnShortWindow);
   row.long_window = CountsWithin(buckets, now, kBurnLongWindow);
   return row;
--- a/tests/burn_test.cc
+++ b/tests/burn_test.cc
@@ -19,7 +19,7 @@
   burn_ledger ledger_{2};
 };
 
-TEST_F(BurnTest, RateIsMissesOverThePermittedPart) {
+TEST_F(BurnTest, BurnRateIsMissRatioOverPermittedMissRatio) {
   ledger_.SetTarget("deposits", 0.95);
   Record("prairie", 90, 10);
   const std::vector<burn_row> rows = ledger_.RowsOf(now_, "prairie");
@@ -28,7 +28,7 @@
   EXPECT_NEAR(BudgetLeft(rows[0].long_window, rows[0].target), -1.0, 1e-9);
 }
 
-TEST_F(BurnTest, CountsLeaveTheShortWindowBeforeTheLongOne) {
+TEST_F(BurnTest, CountsExpireFromShortWindowBeforeLongWindow) {
   Record("prairie", 0, 4);
   now_ += minutes(6);
   Record("prairie", 1, 0);
@@ -39,8 +39,8 @@
   EXPECT_EQ(ledger_.RowsOf(now_, "prairie")[0].long_window, burn_counts{});
 }
 
-// The shops are rivals. A row of another shop in a shop's own report would
-// tell it how much business the other does and how well it is served.
+// Guards against showing an organisation the rows of another, which may be a
+// competitor: they reveal its request volume and quality of service.
 TEST_F(BurnTest, OrganisationSeesOnlyItsOwnRows) {
   Record("shop-a", 1, 0);
   Record("shop-b", 1, 0);
@@ -50,7 +50,7 @@
   EXPECT_EQ(ledger_.AllRows(now_).size(), 2U);
 }
 
-TEST_F(BurnTest, RowsBeyondTheBoundAreCountedAsUncounted) {
+TEST_F(BurnTest, RequestsBeyondRowLimitAreCountedAsUncounted) {
   Record("a", 1, 0);
   Record("b", 1, 0);
   Record("c", 3, 0);
@@ -58,16 +58,17 @@
   EXPECT_EQ(ledger_.uncounted(), 3U);
 }
 
-TEST_F(BurnTest, RowsOfSeveralHostsAddUpAfterJson) {
-  const std::vector<burn_row> one{{"a", "s", 0.99, {9, 10}, {90, 100}}};
-  const std::vector<burn_row> two{{"a", "s", 0.999, {1, 10}, {2, 10}},
-                                  {"b", "s", 0.99, {1, 1}, {1, 1}}};
-  const result<std::vector<burn_row>> read = BurnFromJson(BurnToJson(two));
+TEST_F(BurnTest, RowsOfSeveralHostsAreSummedAfterJsonRoundTrip) {
+  const std::vector<burn_row> first_host{{"a", "s", 0.99, {9, 10}, {90, 100}}};
+  const std::vector<burn_row> second_host{{"a", "s", 0.999, {1, 10}, {2, 10}},
+                                          {"b", "s", 0.99, {1, 1}, {1, 1}}};
+  const result<std::vector<burn_row>> read =
+      BurnFromJson(BurnToJson(second_host));
   ASSERT_TRUE(read) << read.error().Message();
-  const std::vector<std::vector<burn_row>> hosts{one, read.value()};
-  const std::vector<burn_row> want{{"a", "s", 0.999, {10, 20}, {92, 110}},
-                                   {"b", "s", 0.99, {1, 1}, {1, 1}}};
-  EXPECT_EQ(MergeBurn(hosts), want);
+  const std::vector<std::vector<burn_row>> hosts{first_host, read.value()};
+  const std::vector<burn_row> expected{{"a", "s", 0.999, {10, 20}, {92, 110}},
+                                       {"b", "s", 0.99, {1, 1}, {1, 1}}};
+  EXPECT_EQ(MergeBurn(hosts), expected);
 }
 
 TEST_F(BurnTest, OtherJsonIsMalformed) {
