--- a/include/foxtailspread/poison_guard.h
+++ b/include/foxtailspread/poison_guard.h
@@ -2,7 +2,7 @@
 #define FOXTAILSPREAD_POISON_GUARD_H_
 
 /// @file
-/// Recognises a request that crashes each target that runs it.
+/// Detects a request that crashes every target that runs it.
 
 #include <boost/intrusive/list.hpp>
 #include <boost/intrusive/unordered_set.hpp>
@@ -15,24 +15,26 @@
 
 namespace foxtailspread {
 
-/// One content and how many targets were lost while they ran it.
+/// The hash of a request's content and the number of targets lost while running
+/// it.
 struct poison_mark {
   uint64_t content_hash = 0;
   int crashes = 0;
-  duration age{0};  ///< Since the latest crash, so that marks passed round
-                    ///< between hosts still run out.
+  duration age{0};  ///< Since the latest crash; an age, so that marks expire
+                    ///< even while hosts exchange them.
 
   bool operator==(const poison_mark&) const = default;
 };
 
-/// Counts the targets lost per content, in bounded memory.
+/// Counts the targets lost per request content, in bounded memory.
 ///
-/// A caller whose request crashed a target sends it again, and each resend
-/// would take another target down; the failures look like failing targets.
-/// The content is what stays the same, so crashes are counted by its hash.
-/// The count says nothing about the targets or the organisation's other
-/// requests, which therefore go on. An answer proves the content harmless
-/// and clears it: requests that only ran beside the harmful one recover.
+/// A caller whose request crashed a target resends it, and each resend would
+/// crash another target, which looks like a series of target failures. The
+/// resends have the same content, so crashes are counted by its hash. Targets
+/// and other requests of the organisation aren't affected by the count. An
+/// answer from a target shows that the content is harmless and clears its
+/// count, so requests that merely ran concurrently with the harmful one
+/// recover.
 ///
 /// @code
 /// poison_guard guard;
@@ -41,37 +43,38 @@
 /// @endcode
 class poison_guard {
  public:
+  /// Contents with this many crashes are refused.
   static constexpr int kQuarantineCrashes = 2;
   static constexpr size_t kDefaultCapacity = 1024;
   static constexpr duration kMarkLifetime{std::chrono::minutes{30}};
 
   /// Keeps at most `capacity` contents, each for `lifetime` after its latest
-  /// crash; the least recently marked goes first.
+  /// crash. When full, evicts the least recently marked content.
   explicit poison_guard(size_t capacity = kDefaultCapacity,
                         duration lifetime = kMarkLifetime);
   poison_guard(const poison_guard&) = delete;
   poison_guard& operator=(const poison_guard&) = delete;
 
-  /// Counts one target lost while it ran this content.
+  /// Counts one target lost while running this content; 0 is ignored.
   void CountCrash(uint64_t content_hash, time_point now);
-  /// Takes one crash back: the target turned out to be alive.
+  /// Subtracts one crash, after the target turned out to be alive.
   void TakeBackCrash(uint64_t content_hash);
-  /// Forgets the content: a target answered it.
+  /// Removes the content's count, after a target answered it.
   void Clear(uint64_t content_hash);
 
-  /// Returns how many crashes are counted against the content, 0 if none.
+  /// Returns the number of crashes counted for the content.
   int Crashes(uint64_t content_hash, time_point now) const;
-  /// Returns whether the content is to be refused.
+  /// Returns whether requests with this content must be refused.
   bool IsQuarantined(uint64_t content_hash, time_point now) const;
 
-  /// Returns the marks set by crashes seen here since the last call. Sent to
-  /// the other hosts at once, they keep one request from taking targets down
-  /// zone by zone. Marks learnt by Import are not in it, so that a mark that
-  /// was cleared is not handed round for ever.
+  /// Returns the marks of crashes counted on this host since the last call.
+  /// Sending them to the other hosts at once keeps one request from crashing
+  /// targets zone after zone. Imported marks aren't included, since hosts would
+  /// otherwise keep sending each other a mark that has been cleared.
   std::vector<poison_mark> TakeNews(time_point now);
-  /// Returns all marks, for a host that starts.
+  /// Returns all unexpired marks, for a host that is starting.
   std::vector<poison_mark> Export(time_point now) const;
-  /// Takes over marks of another host where they say more than the own.
+  /// Adopts marks of another host whose crash count exceeds the local one.
   void Import(std::span<const poison_mark> marks, time_point now);
 
  private:
@@ -81,7 +84,7 @@
     uint64_t content_hash = 0;
     int crashes = 0;
     time_point marked_at;
-    bool news = false;
+    bool news = false;  ///< Counted here and not yet taken for sending.
   };
   struct hash_of_entry {
     using type = uint64_t;
--- a/src/core/poison_guard.cc
+++ b/src/core/poison_guard.cc
@@ -111,15 +111,15 @@
   if (free_.empty()) {
     Remove(in_use_.front());
   }
-  entry& fresh = free_.front();
+  entry& added = free_.front();
   free_.pop_front();
-  fresh.content_hash = content_hash;
-  fresh.crashes = 0;
-  fresh.news = false;
-  fresh.marked_at = time_point{};
-  in_use_.push_back(fresh);
-  by_hash_.insert(fresh);
-  return fresh;
+  added.content_hash = content_hash;
+  added.crashes = 0;
+  added.news = false;
+  added.marked_at = time_point{};
+  in_use_.push_back(added);
+  by_hash_.insert(added);
+  return added;
 }
 
 const poison_guard::entry* poison_guard::Find(uint64_t content_hash,
