--- a/include/foxtailspread/request_front.h
+++ b/include/foxtailspread/request_front.h
@@ -2,8 +2,8 @@
 #define FOXTAILSPREAD_REQUEST_FRONT_H_
 
 /// @file
-/// The requests that callers send to this host: who sends them, which range
-/// they belong to, and the way to that range's steward.
+/// Handles the requests that callers send to this host: authenticates the
+/// caller, selects the range and forwards the request to the range's steward.
 
 #include <cstdint>
 #include <map>
@@ -21,51 +21,57 @@
 
 namespace foxtailspread {
 
-/// Receives what is said of each ended request, for the burn report.
+/// The result of one ended request, for the burn report.
 struct request_report {
   std::string organisation;
   std::string service;
   request_outcome outcome = request_outcome::kNotRun;
   int status = 0;
-  duration latency{0};
+  duration latency{0};  ///< From arrival to answer.
 };
 
-/// The requests that callers sent to this host and that are not yet answered.
+/// Holds the unanswered requests that callers sent to this host, and routes
+/// each to the steward of its range, on this host or another.
 class request_front {
  public:
   request_front(const host_context& context, range_table& ranges)
       : context_(context), ranges_(ranges) {}
 
+  /// Sets the configuration, which must outlive its use here.
   void Configure(const deployment_config* config);
 
-  /// Takes a caller's request in; `ready` is false while this host has no
-  /// configuration that it may act on.
+  /// Accepts or refuses a caller's request. `ready` is false while this host
+  /// has no configuration that it may act on; all requests are refused then.
   void OnCaller(const caller_request& request, bool ready, time_point now,
                 steward_output& out);
+  /// Handles a caller's request for an action identifier.
   void OnMint(const mint_request& request, bool ready, time_point now,
               steward_output& out);
-  /// Takes a request that another host sent here as the steward.
+  /// Handles a request that another host forwarded to this host as the steward.
   void OnForwarded(const forwarded_request& request, time_point now,
                    steward_output& out);
+  /// Handles the end of a forward to another host: answers the caller, or
+  /// schedules another attempt.
   void OnForwardEnded(const forward_ended& ended, time_point now,
                       steward_output& out);
+  /// Drops the request of a caller that disconnected.
   void OnGone(const caller_gone& gone, time_point now, steward_output& out);
 
-  /// Sends waiting requests on and gives up those whose time is over.
+  /// Routes waiting requests, and answers those whose time limit has passed.
   void Tick(time_point now, steward_output& out);
 
-  /// Turns what stewards here decided into answers, or sends the request on
-  /// where a steward lost its authority before the request began.
+  /// Converts the results of this host's stewards into answers. A request whose
+  /// steward lost its authority before the request started is routed again.
   void Settle(time_point now, steward_output& out);
 
-  /// Notes that the range's roster changed: identifiers held ready may be of
-  /// an epoch that nobody remembers.
+  /// Drops the pooled action identifiers of a range whose roster changed: their
+  /// epoch may be unknown to the new steward.
   void OnRosterChange(std::string_view range) { actions_.Forget(range); }
 
   /// Returns the number of requests not yet answered.
   size_t size() const { return requests_.size() + forwarded_.size(); }
 
-  /// Returns what ended since the last call.
+  /// Returns the reports of requests that ended since the last call.
   std::vector<request_report> TakeReports() {
     return std::exchange(reports_, {});
   }
@@ -81,31 +87,35 @@
     urgency level = urgency::kOrdinary;
     time_point arrived{};
     time_point deadline{};
-    time_point give_up{};
-    time_point next_try{};
+    time_point give_up{};   ///< Not routed again from this time on.
+    time_point next_try{};  ///< Not routed again before this time.
     std::string action;
     uint64_t body_hash = 0;
-    bool mint = false;
-    bool pinned = false;         ///< No other range may serve it.
-    bool maybe_started = false;  ///< A forward broke after it was sent.
-    bool at_steward = false;
-    uint64_t forward_id = 0;
+    bool mint = false;           ///< Asks for an action identifier.
+    bool pinned = false;         ///< Only `range` may serve it.
+    bool maybe_started = false;  ///< A forward was lost after it was sent.
+    bool at_steward = false;     ///< Submitted to a steward on this host.
+    uint64_t forward_id = 0;     ///< Of the forward in progress; 0: none.
     std::string forward_host;
     time_point forwarded_at{};
-    uint64_t forward_epoch = 0;  ///< Of the steward that was meant.
-    int tries = 0;
+    uint64_t forward_epoch = 0;  ///< Epoch of the steward it was sent to.
+    int tries = 0;               ///< Forwards sent for the current range.
   };
   struct caller_context {
     const organisation_config* organisation = nullptr;
     const service_config* service = nullptr;
   };
 
+  /// Authenticates the token and checks that its organisation may use the
+  /// service.
   result<caller_context> Identify(std::string_view token_digest,
                                   std::string_view service) const;
   result<std::string> ChooseRange(const front_request& request) const;
+  /// Returns a range for a request that any range of the service may serve.
   std::string ChoosePooled(const front_request& request) const;
   void Accept(front_request request, time_point now, steward_output& out);
   void Route(front_request& request, time_point now, steward_output& out);
+  /// Returns the host to forward to, null if none is reachable.
   const host_entry* NextHost(const range_node& node, int tries,
                              time_point now) const;
   void SubmitHere(const front_request& request, range_node& node,
@@ -117,16 +127,18 @@
   void Answer(const front_request& request, answer_action answer,
               time_point now, steward_output& out);
   void RetryLater(front_request& request, time_point now);
-  /// Probes the host of a forward that takes long; returns whether the
-  /// forward is to be given up.
+  /// Probes the host of a forward that takes long. Returns whether the forward
+  /// must be abandoned.
   bool ForwardLost(const front_request& request, time_point now);
-  /// Returns a kept identifier that the range's steward still knows.
+  /// Returns a pooled action identifier that the range's steward still knows.
   std::optional<std::string> TakePooled(std::string_view organisation,
                                         std::string_view range);
-  /// Keeps what a steward minted and returns one identifier for the caller.
+  /// Adds the identifiers that a steward minted to the pool, and takes one out
+  /// of it for the caller.
   std::string PoolActions(const front_request& request,
                           std::string_view minted);
-  /// Asks stewards for identifiers of ranges whose turn found none at hand.
+  /// Requests identifiers from the stewards of ranges for which the pool was
+  /// found empty.
   void Replenish(time_point now, steward_output& out);
 
   const host_context& context_;
@@ -135,9 +147,10 @@
   std::unordered_map<std::string, const organisation_config*> by_token_;
   std::unordered_map<std::string, std::vector<std::string>> homes_;
   std::unordered_map<uint64_t, front_request> requests_;
-  /// The ranges of requests that other hosts sent here.
+  /// The range of each request that another host forwarded to this one.
   std::unordered_map<uint64_t, std::string> forwarded_;
-  std::unordered_map<uint64_t, uint64_t> forwards_;  ///< Forward to request.
+  /// Request ID by forward ID.
+  std::unordered_map<uint64_t, uint64_t> forwards_;
   std::vector<request_report> reports_;
   action_pool actions_;
   struct wanted_actions {
@@ -148,11 +161,13 @@
     // NOLINTNEXTLINE(modernize-use-nullptr)
     auto operator<=>(const wanted_actions&) const = default;
   };
+  /// To be requested at the next tick.
   std::set<wanted_actions> wanted_actions_;
+  /// Requested and not yet answered.
   std::set<wanted_actions> minting_;
   struct probe_state {
-    time_point since{};
-    time_point next{};
+    time_point since{};  ///< Start of the current silence.
+    time_point next{};   ///< When to send the next probe.
     time_point avoid_until{};
   };
   std::map<std::string, probe_state, std::less<>> probes_;  ///< By host.
--- a/src/core/request_front.cc
+++ b/src/core/request_front.cc
@@ -9,24 +9,29 @@
 namespace foxtailspread {
 namespace {
 
-constexpr duration kComeBackSoon{std::chrono::milliseconds{500}};
-constexpr duration kAvoidUnreachable{std::chrono::seconds{1}};
-/// A forward that takes longer has its host probed.
-constexpr duration kProbeAfter{std::chrono::milliseconds{150}};
+/// Retry-After value for requests that this host can't route at present.
+constexpr duration kRetryAfter{std::chrono::milliseconds{500}};
+/// How long an unreachable host or range is left out when routing.
+constexpr duration kUnreachableAvoidPeriod{std::chrono::seconds{1}};
+/// When a forward takes longer than this, its host is probed.
+constexpr duration kProbeDelay{std::chrono::milliseconds{150}};
 constexpr duration kProbePeriod{std::chrono::milliseconds{50}};
-/// A forward is given up when its host, being probed, was silent for so long.
-constexpr duration kProbeSilence{std::chrono::milliseconds{350}};
-/// The steward ends a request at its deadline too and knows whether it began;
-/// its answer takes a moment to come back. Not waited for, a request that only
-/// queued would read unknown here.
-constexpr duration kAnswerGrace{std::chrono::milliseconds{30}};
-constexpr size_t kMaxKeyLength = 256;
-/// Marks the numbers of requests that this host makes on its own account.
-constexpr uint64_t kOwnRequest = uint64_t{1} << 63;
-
-bool IsOwn(uint64_t request_id) { return (request_id & kOwnRequest) != 0; }
-
-int StatusOf(error_code code) {
+/// A forward is abandoned when its host stays silent this long while probed.
+constexpr duration kProbeSilenceTimeout{std::chrono::milliseconds{350}};
+/// How long past the deadline to wait for the steward's answer. The steward
+/// also ends the request at its deadline and knows whether it started. Without
+/// the wait, the answer would arrive too late, and a request that was
+/// only queued would be answered with the outcome "unknown".
+constexpr duration kAnswerGracePeriod{std::chrono::milliseconds{30}};
+constexpr size_t kMaxKeyBytes = 256;
+/// Set in the IDs of requests that this host makes itself, without a caller.
+constexpr uint64_t kInternalRequestBit = uint64_t{1} << 63;
+
+bool IsInternalRequest(uint64_t request_id) {
+  return (request_id & kInternalRequestBit) != 0;
+}
+
+int HttpStatusOf(error_code code) {
   switch (code) {
     case error_code::kUnauthenticated:
       return 401;
@@ -43,8 +48,8 @@
   }
 }
 
-/// Returns the answer for a request whose steward here lost its authority.
-answer_action ChangingHands(uint64_t request_id) {
+/// Returns the answer to another host when this host isn't the range's steward.
+answer_action NotStewardAnswer(uint64_t request_id) {
   answer_action answer;
   answer.request_id = request_id;
   answer.status = kMisdirected;
@@ -89,7 +94,8 @@
   const bool granted =
       std::find(allowed.begin(), allowed.end(), service) != allowed.end();
   caller.service = config_->FindService(service);
-  // Whether a service of another organisation exists is not revealed.
+  // One answer for both cases, so that it doesn't reveal whether another
+  // organisation's service exists.
   if (!granted || caller.service == nullptr) {
     return error{error_code::kUnknownName, std::string(service),
                  "no such service for this organisation",
@@ -104,8 +110,8 @@
     Refuse(request.request_id,
            {error_code::kUnavailable, "",
             "this host has no current configuration yet",
-            "come back after the stated time or use another host"},
-           kComeBackSoon, out,
+            "retry after the stated time or use another host"},
+           kRetryAfter, out,
            request.action.empty() ? request_outcome::kNotRun
                                   : request_outcome::kUnknown);
     return;
@@ -117,33 +123,33 @@
   }
   const service_config& service = *caller.value().service;
   const std::string& organisation = caller.value().organisation->name;
-  if (request.key.empty() || request.key.size() > kMaxKeyLength) {
+  if (request.key.empty() || request.key.size() > kMaxKeyBytes) {
     Refuse(request.request_id,
            {error_code::kOutOfRange, "key", "the key is empty or too long",
             "use 1 to 256 bytes"},
            duration{0}, out);
     return;
   }
-  front_request front;
-  front.request_id = request.request_id;
-  front.organisation = organisation;
-  front.service = &service;
-  front.service_name = service.name;
-  front.key = request.key;
-  front.level = service.default_urgency;
-  front.arrived = now;
-  front.action = request.action;
-  front.body_hash = request.body_hash;
+  front_request new_request;
+  new_request.request_id = request.request_id;
+  new_request.organisation = organisation;
+  new_request.service = &service;
+  new_request.service_name = service.name;
+  new_request.key = request.key;
+  new_request.level = service.default_urgency;
+  new_request.arrived = now;
+  new_request.action = request.action;
+  new_request.body_hash = request.body_hash;
   if (!request.urgency.empty()) {
     const result<urgency> level = ParseUrgency(request.urgency);
     if (!level) {
       Refuse(request.request_id, level.error(), duration{0}, out);
       return;
     }
-    front.level = level.value();
+    new_request.level = level.value();
   }
   const rule_config rule = config_->RuleFor(organisation, service.name);
-  front.level = std::max(front.level, rule.most_urgent);
+  new_request.level = std::max(new_request.level, rule.most_urgent);
   if (request.deadline_us < 0 ||
       request.deadline_us > service.max_deadline.count()) {
     Refuse(request.request_id,
@@ -157,7 +163,7 @@
   const duration allowed = request.deadline_us == 0
                                ? service.default_deadline
                                : duration{request.deadline_us};
-  front.deadline = now + allowed;
+  new_request.deadline = now + allowed;
   if (service.at_most_once && request.action.empty()) {
     Refuse(request.request_id,
            {error_code::kMissingField, "Foxtail-Action",
@@ -166,7 +172,7 @@
            duration{0}, out);
     return;
   }
-  Accept(std::move(front), now, out);
+  Accept(std::move(new_request), now, out);
 }
 
 void request_front::OnMint(const mint_request& request, bool ready,
@@ -175,8 +181,8 @@
     Refuse(request.request_id,
            {error_code::kUnavailable, "",
             "this host has no current configuration yet",
-            "come back after the stated time or use another host"},
-           kComeBackSoon, out);
+            "retry after the stated time or use another host"},
+           kRetryAfter, out);
     return;
   }
   const auto caller = Identify(request.token_digest, request.service);
@@ -192,25 +198,26 @@
            duration{0}, out);
     return;
   }
-  front_request front;
-  front.request_id = request.request_id;
-  front.organisation = caller.value().organisation->name;
-  front.service = caller.value().service;
-  front.service_name = front.service->name;
-  front.arrived = now;
-  front.deadline = now + front.service->default_deadline;
-  front.mint = true;
-  front.range = actions_.NextRange(*front.service);
-  if (const auto ready_made = TakePooled(front.organisation, front.range)) {
+  front_request new_request;
+  new_request.request_id = request.request_id;
+  new_request.organisation = caller.value().organisation->name;
+  new_request.service = caller.value().service;
+  new_request.service_name = new_request.service->name;
+  new_request.arrived = now;
+  new_request.deadline = now + new_request.service->default_deadline;
+  new_request.mint = true;
+  new_request.range = actions_.NextRange(*new_request.service);
+  if (const auto pooled_action =
+          TakePooled(new_request.organisation, new_request.range)) {
     answer_action answer;
-    answer.request_id = front.request_id;
+    answer.request_id = new_request.request_id;
     answer.outcome = request_outcome::kDone;
     answer.status = 200;
-    answer.next_action = *ready_made;
+    answer.next_action = *pooled_action;
     out.actions.push_back(std::move(answer));
     return;
   }
-  Accept(std::move(front), now, out);
+  Accept(std::move(new_request), now, out);
 }
 
 void request_front::Accept(front_request request, time_point now,
@@ -226,10 +233,10 @@
   request.give_up =
       std::min(request.deadline, now + context_.timing.route_patience);
   request.next_try = now;
-  front_request& kept =
+  front_request& stored_request =
       requests_.insert_or_assign(request.request_id, std::move(request))
           .first->second;
-  Route(kept, now, out);
+  Route(stored_request, now, out);
 }
 
 result<std::string> request_front::ChooseRange(
@@ -267,21 +274,22 @@
     }
     return range;
   }
-  // Wherever the same identifier comes in, it must meet its first send.
+  // Resends of an identifier must reach the same range as the first send, from
+  // whichever host.
   const uint64_t hash = HashText(request.action);
   const size_t target = hash % service.targets.size();
   return RangeName(service.name, service.targets[target].zone);
 }
 
 std::string request_front::ChoosePooled(const front_request& request) const {
-  // In proportion to the targets of each zone, so that every target gets the
-  // same load; zones whose stewards cannot be reached are left out.
+  // Selects zones in proportion to their targets, so that every target gets the
+  // same load. Zones whose stewards can't be reached are left out.
   const auto& targets = request.service->targets;
-  const size_t start = request.request_id % targets.size();
+  const size_t first_index = request.request_id % targets.size();
   std::string first;
   for (size_t i = 0; i < targets.size(); ++i) {
-    const size_t at = (start + i) % targets.size();
-    std::string name = RangeName(request.service_name, targets[at].zone);
+    const size_t index = (first_index + i) % targets.size();
+    std::string name = RangeName(request.service_name, targets[index].zone);
     const range_node* node = ranges_.Find(name);
     if (first.empty()) {
       first = name;
@@ -360,16 +368,16 @@
 void request_front::SubmitHere(const front_request& request, range_node& node,
                                time_point now, steward_output& out) {
   requests_.at(request.request_id).at_steward = true;
-  steward_request wanted;
-  wanted.request_id = request.request_id;
-  wanted.organisation = request.organisation;
-  wanted.key = request.key;
-  wanted.level = request.level;
-  wanted.deadline = request.deadline;
-  wanted.action = request.action;
-  wanted.body_hash = request.body_hash;
-  wanted.mint = request.mint;
-  node.steward->Submit(wanted, now, out);
+  steward_request submission;
+  submission.request_id = request.request_id;
+  submission.organisation = request.organisation;
+  submission.key = request.key;
+  submission.level = request.level;
+  submission.deadline = request.deadline;
+  submission.action = request.action;
+  submission.body_hash = request.body_hash;
+  submission.mint = request.mint;
+  node.steward->Submit(submission, now, out);
 }
 
 void request_front::RetryLater(front_request& request, time_point now) {
@@ -382,20 +390,20 @@
                                 time_point now, steward_output& out) {
   range_node* node = ranges_.Find(request.range);
   if (node == nullptr || !node->acting || !node->steward->taking()) {
-    out.actions.push_back(ChangingHands(request.request_id));
+    out.actions.push_back(NotStewardAnswer(request.request_id));
     return;
   }
   forwarded_[request.request_id] = request.range;
-  steward_request wanted;
-  wanted.request_id = request.request_id;
-  wanted.organisation = request.organisation;
-  wanted.key = request.key;
-  wanted.level = request.level;
-  wanted.deadline = now + duration{request.deadline_us};
-  wanted.action = request.action;
-  wanted.body_hash = request.body_hash;
-  wanted.mint = request.mint;
-  node->steward->Submit(wanted, now, out);
+  steward_request submission;
+  submission.request_id = request.request_id;
+  submission.organisation = request.organisation;
+  submission.key = request.key;
+  submission.level = request.level;
+  submission.deadline = now + duration{request.deadline_us};
+  submission.action = request.action;
+  submission.body_hash = request.body_hash;
+  submission.mint = request.mint;
+  node->steward->Submit(submission, now, out);
 }
 
 void request_front::OnForwardEnded(const forward_ended& ended, time_point now,
@@ -415,7 +423,8 @@
     answer_action answer;
     answer.request_id = request.request_id;
     answer.outcome = ended.outcome;
-    // An earlier forward of it may have run, whatever the last one says.
+    // An earlier forward of the request may have run even if the last one
+    // didn't.
     if (request.maybe_started && request.action.empty() &&
         ended.outcome == request_outcome::kNotRun) {
       answer.outcome = request_outcome::kUnknown;
@@ -423,7 +432,8 @@
     answer.status = ended.status;
     answer.retry_after_us = ended.retry_after_us;
     answer.next_action = ended.next_action;
-    // What a steward mints is a batch; the caller gets one of it.
+    // A steward mints a batch of identifiers; the caller gets only one, so the
+    // forwarded body isn't used.
     const bool minted = request.mint && !ended.next_action.empty();
     answer.source = minted ? body_source::kNone : body_source::kForward;
     answer.body_id = ended.forward_id;
@@ -437,19 +447,20 @@
     request.maybe_started = true;
   }
   RetryLater(request, now);
-  const size_t roster =
+  const size_t roster_size =
       node != nullptr && node->record ? node->record->order.size() : size_t{1};
-  // Every member is tried once without a pause.
-  const bool all_tried = request.tries >= static_cast<int>(roster);
-  if (all_tried && !request.pinned && !request.maybe_started &&
+  // Each member of the roster is tried once without a delay.
+  const bool all_members_tried = request.tries >= static_cast<int>(roster_size);
+  if (all_members_tried && !request.pinned && !request.maybe_started &&
       node != nullptr) {
-    // Any range of the service will do: one that is cut off is left out.
-    node->avoid_until = now + kAvoidUnreachable;
+    // Any range of the service may serve the request: avoid the unreachable
+    // one.
+    node->avoid_until = now + kUnreachableAvoidPeriod;
     request.range = ChoosePooled(request);
     request.tries = 0;
     return;
   }
-  if (now < request.give_up && !all_tried) {
+  if (now < request.give_up && !all_members_tried) {
     Route(request, now, out);
   }
 }
@@ -488,7 +499,7 @@
   for (const auto& [id, request] : requests_) {
     ids.push_back(id);
   }
-  // The order of a hash table must not decide anything.
+  // Process requests in an order independent of the hash table's.
   std::sort(ids.begin(), ids.end());
   for (const uint64_t id : ids) {
     const auto found = requests_.find(id);
@@ -497,8 +508,8 @@
     }
     front_request& request = found->second;
     if (request.forward_id != 0) {
-      const bool late = now >= request.deadline + kAnswerGrace;
-      if (ForwardLost(request, now) || late) {
+      const bool past_deadline = now >= request.deadline + kAnswerGracePeriod;
+      if (ForwardLost(request, now) || past_deadline) {
         out.actions.push_back(cancel_forward_action{request.forward_id});
         forwards_.erase(request.forward_id);
         request.maybe_started = true;
@@ -517,8 +528,8 @@
 
 bool request_front::ForwardLost(const front_request& request, time_point now) {
   const range_node* node = ranges_.Find(request.range);
-  // The former steward was cut off or paused if another took over meanwhile;
-  // it may never answer.
+  // If another steward has taken over since, the previous one was disconnected
+  // or paused and may never answer.
   const bool replaced =
       node != nullptr && node->record &&
       node->record->order.front().epoch != request.forward_epoch &&
@@ -526,25 +537,25 @@
   if (replaced) {
     return true;
   }
-  if (now < request.forwarded_at + kProbeAfter) {
+  if (now < request.forwarded_at + kProbeDelay) {
     return false;
   }
-  // Work may take long, so a late answer says nothing; a host that answers no
-  // probe either cannot be reached.
+  // A late answer alone doesn't show that the host is unreachable,
+  // since work may take long; a host that doesn't answer probes either is.
   probe_state& probe = probes_[request.forward_host];
   const auto silence = context_.directory.Silence(request.forward_host, now);
-  const bool heard = silence && *silence < kProbeSilence;
-  if (heard || probe.since < request.forwarded_at) {
-    probe.since = heard ? now - *silence : now;
+  const bool recently_heard = silence && *silence < kProbeSilenceTimeout;
+  if (recently_heard || probe.since < request.forwarded_at) {
+    probe.since = recently_heard ? now - *silence : now;
   }
   if (now >= probe.next) {
     probe.next = now + kProbePeriod;
     context_.outbox[request.forward_host].probe = true;
   }
-  if (heard || now < probe.since + kProbeSilence) {
+  if (recently_heard || now < probe.since + kProbeSilenceTimeout) {
     return false;
   }
-  probe.avoid_until = now + kAvoidUnreachable;
+  probe.avoid_until = now + kUnreachableAvoidPeriod;
   return true;
 }
 
@@ -552,34 +563,34 @@
                            steward_output& out) {
   range_node* node = ranges_.Find(request.range);
   if (node != nullptr) {
-    node->avoid_until = now + kAvoidUnreachable;
+    node->avoid_until = now + kUnreachableAvoidPeriod;
   }
   answer_action answer;
   answer.request_id = request.request_id;
-  // An earlier send of the same action may have run, or its caller may have
-  // been told so; only the steward knows. "not run" here would make the caller
-  // send a new action.
+  // An earlier send of the same action may have run, and its caller may have
+  // been told that it did; only the steward knows. The outcome "not run" would
+  // make the caller send a new action, and the work could run twice.
   const bool unknown = request.maybe_started || !request.action.empty();
   answer.outcome =
       unknown ? request_outcome::kUnknown : request_outcome::kNotRun;
   answer.status = 503;
   answer.code = "no-steward";
-  answer.reason = "the host in charge of this key cannot be reached";
-  answer.remedy = unknown ? "send it again with the same identifier later"
-                          : "come back after the stated time";
-  answer.retry_after_us = kComeBackSoon.count();
+  answer.reason = "the steward of this key's range cannot be reached";
+  answer.remedy = unknown ? "send it again later with the same identifier"
+                          : "retry after the stated time";
+  answer.retry_after_us = kRetryAfter.count();
   Answer(request, std::move(answer), now, out);
 }
 
 void request_front::Settle(time_point now, steward_output& out) {
-  // Sending a request on may give results of its own.
+  // By index: results may be appended while a request is handled.
   for (size_t i = 0; i < out.results.size(); ++i) {
     request_result result = std::move(out.results[i]);
     const uint64_t id = result.answer.request_id;
     const auto forwarded = forwarded_.find(id);
     if (forwarded != forwarded_.end()) {
       forwarded_.erase(forwarded);
-      out.actions.push_back(result.no_authority ? ChangingHands(id)
+      out.actions.push_back(result.no_authority ? NotStewardAnswer(id)
                                                 : std::move(result.answer));
       continue;
     }
@@ -604,22 +615,23 @@
     if (service == nullptr || !minting_.insert(wanted).second) {
       continue;
     }
-    front_request front;
-    front.request_id = kOwnRequest | context_.ids.Next();
-    front.organisation = wanted.organisation;
-    front.service = service;
-    front.service_name = wanted.service;
-    front.range = wanted.range;
-    front.arrived = now;
-    front.deadline = now + service->default_deadline;
-    front.give_up = front.deadline;
-    front.next_try = now;
-    front.pinned = true;
-    front.mint = true;
-    front_request& kept =
-        requests_.insert_or_assign(front.request_id, std::move(front))
+    front_request new_request;
+    new_request.request_id = kInternalRequestBit | context_.ids.Next();
+    new_request.organisation = wanted.organisation;
+    new_request.service = service;
+    new_request.service_name = wanted.service;
+    new_request.range = wanted.range;
+    new_request.arrived = now;
+    new_request.deadline = now + service->default_deadline;
+    new_request.give_up = new_request.deadline;
+    new_request.next_try = now;
+    new_request.pinned = true;
+    new_request.mint = true;
+    front_request& stored_request =
+        requests_
+            .insert_or_assign(new_request.request_id, std::move(new_request))
             .first->second;
-    Route(kept, now, out);
+    Route(stored_request, now, out);
   }
 }
 
@@ -627,8 +639,8 @@
                                        std::string_view minted) {
   std::vector<std::string> ids = SplitActions(minted);
   if (request.service == nullptr || request.mint) {
-    // Nobody waits for the first one if this host asked on its own account.
-    const size_t first = IsOwn(request.request_id) ? 0 : 1;
+    // No caller waits for the first identifier of an internal request.
+    const size_t first = IsInternalRequest(request.request_id) ? 0 : 1;
     for (size_t i = first; i < ids.size(); ++i) {
       actions_.Keep(request.organisation, request.range, ids[i]);
     }
@@ -638,19 +650,20 @@
   if (range == request.range) {
     return ids.front();
   }
-  // Another range's turn: its identifier if one is at hand, and this one is
-  // kept for the range's own turn.
-  auto other = TakePooled(request.organisation, range);
-  if (!other) {
+  // It is another range's turn: return a pooled identifier of that range, if
+  // there is one, and pool the minted one for its own range's turn.
+  auto pooled_action = TakePooled(request.organisation, range);
+  if (!pooled_action) {
     wanted_actions_.insert({request.organisation, request.service_name, range});
     return ids.front();
   }
   actions_.Keep(request.organisation, request.range, std::move(ids.front()));
-  return *other;
+  return *pooled_action;
 }
 
-// An identifier of a steward that died reads unknown at its successor. Handed
-// out, it would cost its caller a look-up for an action that never began.
+// Identifiers of earlier epochs are dropped: a failed steward's successor has
+// to answer them with "unknown", and the caller would then look up an action
+// that never started.
 std::optional<std::string> request_front::TakePooled(
     std::string_view organisation, std::string_view range) {
   const range_node* node = ranges_.Find(range);
@@ -659,10 +672,10 @@
     current = std::max(current, node->record->map.epoch);
   }
   while (auto id = actions_.Take(organisation, range)) {
-    const result<action_id> parsed =
+    const result<action_id> parsed_id =
         ParseActionId(*id, organisation, context_.secret);
-    if (parsed && parsed.value().minted &&
-        parsed.value().minted->epoch >= current) {
+    if (parsed_id && parsed_id.value().minted &&
+        parsed_id.value().minted->epoch >= current) {
       return id;
     }
   }
@@ -675,7 +688,7 @@
   answer_action answer;
   answer.request_id = request_id;
   answer.outcome = outcome;
-  answer.status = StatusOf(e.code);
+  answer.status = HttpStatusOf(e.code);
   answer.code = ToString(e.code);
   answer.reason = e.path.empty() ? e.reason : e.path + ": " + e.reason;
   answer.remedy = e.remedy;
@@ -685,7 +698,7 @@
 
 void request_front::Answer(const front_request& request, answer_action answer,
                            time_point now, steward_output& out) {
-  if (IsOwn(request.request_id)) {
+  if (IsInternalRequest(request.request_id)) {
     minting_.erase({request.organisation, request.service_name, request.range});
     if (!answer.next_action.empty()) {
       PoolActions(request, answer.next_action);
