--- a/include/foxtailspread/action_id.h
+++ b/include/foxtailspread/action_id.h
@@ -4,13 +4,14 @@
 /// @file
 /// Identifiers of at-most-once actions.
 ///
-/// An identifier that the system minted names its home range and the epoch in
-/// which it was minted. A new steward starts with an empty memory; the epoch
-/// lets it tell an action that cannot have begun yet (minted in its own
-/// tenure) from one of which nobody can say any more whether it ran.
+/// An identifier that the system minted contains its home range and the epoch
+/// in which it was minted. A new steward of the range starts without any record
+/// of earlier actions. The epoch lets it distinguish an action that cannot have
+/// begun without its knowledge (minted in its own tenure) from one that may
+/// have run under an earlier steward.
 ///
-/// Identifiers made by callers are accepted as a weaker form: nothing in them
-/// says when they were first sent.
+/// Identifiers chosen by callers are accepted too, with weaker guarantees: they
+/// don't contain the time at which they were first sent.
 
 #include <array>
 #include <cstddef>
@@ -23,43 +24,45 @@
 
 namespace foxtailspread {
 
-/// Every minted identifier starts with this and no caller-made one may.
+/// The prefix of all minted identifiers; caller-made ones must not have it.
 inline constexpr std::string_view kMintedActionPrefix = "fa1.";
-/// The longest identifier, minted or not.
+/// The maximum length of an identifier, minted or not, in characters.
 inline constexpr size_t kMaxActionIdLength = 96;
-/// The longest range name that always fits into a minted identifier.
+/// The maximum length of a range name for which a minted identifier, whatever
+/// its epoch and sequence number, has at most kMaxActionIdLength characters.
 inline constexpr size_t kMaxActionRangeLength = 37;
 inline constexpr size_t kMinCallerActionLength = 8;
 inline constexpr size_t kMaxCallerActionLength = 64;
 
-/// A 256-bit keyed hash.
+/// A 256-bit message authentication code.
 using mac_digest = std::array<uint8_t, 32>;
 
-/// Computes a cryptographic keyed hash (HMAC-SHA-256) of `message`.
+/// Computes the HMAC-SHA-256 of `message`.
 ///
-/// It is handed in so that the decision library needs no cryptographic
-/// library; `GlibMac` in src/net is the one that the programs use. XXH3 with a
-/// secret would not do: a caller who sees identifiers could forge others.
+/// It is passed in so that the core library needs no cryptographic library; the
+/// programs use `GlibMac` in src/net. XXH3 with a secret would not be secure: a
+/// caller that sees identifiers could forge others.
 using mac_function = mac_digest (*)(std::string_view key,
                                     std::string_view message);
 
-/// What authenticates minted identifiers; the same on all entry hosts of one
-/// deployment, and never sent to callers.
+/// The key and function that authenticate minted identifiers. They are the same
+/// on all entry hosts of a deployment and are never sent to callers.
 struct action_secret {
   std::string key;
   mac_function mac = nullptr;
 };
 
-/// What a minted identifier is bound to. The organisation is part of the keyed
-/// hash but not of the text, so the text tells nobody whose it is.
+/// The data that a minted identifier is bound to. The organisation is part of
+/// the authentication code but not of the text, so the text doesn't reveal
+/// which organisation it belongs to.
 struct action_origin {
   std::string organisation;
-  std::string range;      ///< The home range, 1 to kMaxActionRangeLength.
-  uint64_t epoch = 0;     ///< The steward's epoch when it was minted.
+  std::string range;   ///< Home range, 1 to kMaxActionRangeLength characters.
+  uint64_t epoch = 0;  ///< The steward's epoch when it was minted.
   uint64_t sequence = 0;  ///< Unique within the range and epoch.
 };
 
-/// The part of an identifier that only minted ones have.
+/// The data encoded in a minted identifier.
 struct minted_action {
   std::string range;
   uint64_t epoch = 0;
@@ -68,31 +71,32 @@
   bool operator==(const minted_action&) const = default;
 };
 
-/// A checked identifier of the organisation it was parsed for.
+/// An identifier that was validated for one organisation.
 struct action_id {
   std::string text;                     ///< As the caller sent it.
   std::optional<minted_action> minted;  ///< Empty for a caller-made one.
 };
 
-/// Mints the identifier of `origin`: URL-safe, at most kMaxActionIdLength
-/// characters, equal for equal input. A range name that is empty or longer
-/// than kMaxActionRangeLength is kTooLarge, a secret without key or function
-/// kMissingField.
+/// Mints the identifier of `origin`. The text is URL-safe, has at most
+/// kMaxActionIdLength characters and is the same for the same input. Fails with
+/// kTooLarge if the range name is empty or longer than kMaxActionRangeLength,
+/// and with kMissingField if the secret has no key or function.
 ///
 /// @code
 /// result<std::string> text = MintActionId(
-///     {"vlahovic", "crews@trnje", tenure.epoch, table.Reserve(1)}, secret);
+///     {"vlahovic", "crews@trnje", tenure.epoch, table.ReserveSequences(1)},
+///     secret);
 /// @endcode
 result<std::string> MintActionId(const action_origin& origin,
                                  const action_secret& secret);
 
-/// Checks an identifier that a caller of `organisation` sent.
+/// Validates and parses an identifier that a caller of `organisation` sent.
 ///
-/// One that starts with kMintedActionPrefix but was not minted for this
-/// organisation is kForbidden, whether it was made up or belongs to another
-/// organisation: the answer is the same, so nothing of the other is revealed.
-/// Text that is neither minted nor a valid caller-made identifier is
-/// kMalformed.
+/// Text that starts with kMintedActionPrefix but was not minted for this
+/// organisation gives kForbidden. The error is the same for an invented
+/// identifier and for one of another organisation, so that it doesn't reveal
+/// whether the identifier exists. Text that is neither minted nor a valid
+/// caller-made identifier gives kMalformed.
 result<action_id> ParseActionId(std::string_view text,
                                 std::string_view organisation,
                                 const action_secret& secret);
--- a/include/foxtailspread/action_log.h
+++ b/include/foxtailspread/action_log.h
@@ -2,7 +2,8 @@
 #define FOXTAILSPREAD_ACTION_LOG_H_
 
 /// @file
-/// One bit per minted action of a tenure: whether it has begun.
+/// A bitmap over the minted sequence numbers of a tenure: one bit for each,
+/// whether its action has begun.
 
 #include <cstddef>
 #include <cstdint>
@@ -11,45 +12,46 @@
 
 namespace foxtailspread {
 
-/// What is known of a minted sequence number.
+/// The recorded state of a sequence number.
 enum class sequence_state {
   kNeverBegun,
   kBegun,
-  kForgotten,  ///< Older than the log reaches back.
+  kForgotten,  ///< Older than the first kept sequence number.
   kNotMinted,  ///< Not reserved in this tenure.
 };
 
-/// Remembers which of a tenure's sequence numbers have begun, long after the
-/// full entries were evicted. Without it, evicting an entry would force the
-/// table to answer `unknown` to every identifier as old, also to those that a
-/// caller has kept and never used.
+/// Records which sequence numbers of a tenure have begun, after the table has
+/// evicted their entries. Without it, evicting an entry would force the table
+/// to reply `unknown` to every identifier of the same age, even if a caller had
+/// kept the identifier and never used it.
 class action_log {
  public:
   /// Keeps the state of at least the last `capacity` sequence numbers.
   explicit action_log(size_t capacity);
 
-  /// Forgets everything and starts again at sequence number 0.
+  /// Clears all states and restarts at sequence number 0.
   void Clear();
 
-  /// Hands out `count` sequence numbers and returns the first.
+  /// Reserves `count` sequence numbers and returns the first.
   uint64_t Reserve(uint64_t count);
 
-  /// Returns the next number that Reserve would hand out.
+  /// Returns the next number that ReserveSequences would return.
   uint64_t next() const { return next_; }
-  /// Returns the first number of which the state is kept.
+  /// Returns the lowest number whose state is kept.
   uint64_t first_kept() const;
-  /// Returns the kept states, one bit a number, from first_kept() on.
+  /// Returns the kept states, one bit per number, starting at
+  /// first_kept_sequence().
   std::vector<uint64_t> Words() const { return {words_.begin(), words_.end()}; }
-  /// Puts back what the three above gave.
+  /// Restores the values of next_sequence(), first_kept_sequence() and Words().
   void Restore(uint64_t next, uint64_t first_kept,
                const std::vector<uint64_t>& words);
 
   sequence_state StateOf(uint64_t sequence) const;
 
-  /// Notes that the action began; no effect on forgotten numbers.
+  /// Records that the action began. Has no effect on kForgotten numbers.
   void MarkBegun(uint64_t sequence);
 
-  /// Notes the proof that the action did not begin after all.
+  /// Records the proof that the action did not begin.
   void MarkNotBegun(uint64_t sequence);
 
  private:
--- a/include/foxtailspread/action_pool.h
+++ b/include/foxtailspread/action_pool.h
@@ -2,13 +2,13 @@
 #define FOXTAILSPREAD_ACTION_POOL_H_
 
 /// @file
-/// Action identifiers that an entry host holds ready for callers.
+/// A pool of minted action identifiers that an entry host keeps for callers.
 ///
-/// An identifier's home range decides where its action runs. If callers got
-/// their next identifier from the range that served the last one, each would
-/// stay with one range, and the targets of a service would differ in load as
-/// chance had it at the start. The pool hands ranges out in turn, in
-/// proportion to their targets.
+/// The home range of an identifier decides where its action runs. If callers
+/// got their next identifier from the range that served the previous one, each
+/// caller would stay with one range, and an initial imbalance between the
+/// targets of a service would persist. The pool therefore selects ranges
+/// round-robin, in proportion to their numbers of targets.
 
 #include <cstdint>
 #include <deque>
@@ -26,34 +26,36 @@
 /// Minted identifiers by organisation, service and home range.
 class action_pool {
  public:
-  /// Identifiers asked for at once.
+  /// Number of identifiers that one mint request asks for.
   static constexpr int kBatch = 16;
-  /// More of one range are not kept.
+  /// Maximum number of identifiers kept for one organisation and range.
   static constexpr size_t kMostKept = 64;
 
-  /// Returns the range of which the next identifier of the service should be:
-  /// each target's zone in turn.
+  /// Returns the range for the next identifier of the service: the zones of the
+  /// service's targets in turn.
   std::string NextRange(const service_config& service);
 
-  /// Keeps an identifier that was minted for the organisation.
+  /// Adds an identifier that was minted for the organisation. Drops it if
+  /// kMaxIdsPerRange are kept already.
   void Keep(std::string_view organisation, std::string_view range,
             std::string id);
 
-  /// Takes an identifier out, or nothing if there is none.
+  /// Removes and returns an identifier, or nothing if there is none.
   std::optional<std::string> Take(std::string_view organisation,
                                   std::string_view range);
 
-  /// Forgets those of a range, whose steward changed.
+  /// Removes all identifiers of a range; called when its steward changed.
   void Forget(std::string_view range);
 
  private:
   using holder = std::pair<std::string, std::string>;  // organisation, range
 
   std::map<holder, std::deque<std::string>> kept_;
-  std::map<std::string, size_t, std::less<>> turns_;  // by service
+  std::map<std::string, size_t, std::less<>>
+      turns_;  // index of the next target, by service
 };
 
-/// Splits the identifiers of one minting, separated by commas.
+/// Splits the comma-separated identifiers in the reply to a mint request.
 std::vector<std::string> SplitActions(std::string_view text);
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/action_table-inl.h
+++ b/include/foxtailspread/action_table-inl.h
@@ -2,7 +2,8 @@
 #define FOXTAILSPREAD_ACTION_TABLE_INL_H_
 
 /// @file
-/// The definitions of basic_action_table's members; include action_table.h.
+/// The member definitions of basic_action_table; include action_table.h
+/// instead.
 
 #include <algorithm>
 #include <utility>
@@ -15,16 +16,17 @@
 template <typename Rules>
 auto basic_action_table<Rules>::ResetTenure(action_tenure tenure)
     -> waiter_list {
-  waiter_list left_waiting;
+  waiter_list remaining_waiters;
   for (const auto& [key, e] : entries_) {
-    left_waiting.insert(left_waiting.end(), e.waiters.begin(), e.waiters.end());
+    remaining_waiters.insert(remaining_waiters.end(), e.waiters.begin(),
+                             e.waiters.end());
   }
   entries_.clear();
   organisations_.clear();
   log_.Clear();
   answer_bytes_ = 0;
   tenure_ = std::move(tenure);
-  return left_waiting;
+  return remaining_waiters;
 }
 
 template <typename Rules>
@@ -36,36 +38,36 @@
 template <typename Rules>
 std::string basic_action_table<Rules>::Export(time_point now,
                                               size_t max_body_bytes) const {
-  action_export memory;
-  memory.covered = tenure_.covered;
-  memory.covered.push_back(tenure_.epoch);
-  memory.age = now - tenure_.began_at;
-  memory.next = log_.next();
-  memory.first_kept = log_.first_kept();
-  memory.words = log_.Words();
+  action_export table_export;
+  table_export.covered = tenure_.covered;
+  table_export.covered.push_back(tenure_.epoch);
+  table_export.age = now - tenure_.began_at;
+  table_export.next = log_.next();
+  table_export.first_kept = log_.first_kept();
+  table_export.words = log_.Words();
   for (const auto& [key, e] : entries_) {
-    exported_action one;
-    one.key = key;
-    one.organisation = e.organisation;
-    one.sequence = e.sequence;
-    one.content_hash = e.content_hash;
-    one.done = e.state == entry_state::kDone;
-    one.not_run = e.state == entry_state::kNotRun && !e.unknown_was_said;
-    one.attempt = e.attempt;
-    one.age = IsUnderWay(e) ? duration{0} : now - e.touched_at;
+    exported_action exported;
+    exported.key = key;
+    exported.organisation = e.organisation;
+    exported.sequence = e.sequence;
+    exported.content_hash = e.content_hash;
+    exported.done = e.state == entry_state::kDone;
+    exported.not_run = e.state == entry_state::kNotRun && !e.unknown_was_said;
+    exported.attempt = e.attempt;
+    exported.age = IsUnderWay(e) ? duration{0} : now - e.touched_at;
     if (e.answer != nullptr) {
-      one.status = e.answer->status;
-      one.content_type = e.answer->content_type;
-      one.body_omitted =
+      exported.status = e.answer->status;
+      exported.content_type = e.answer->content_type;
+      exported.body_omitted =
           e.answer->body_omitted || e.answer->body.size() > max_body_bytes;
-      if (!one.body_omitted) {
+      if (!exported.body_omitted) {
         max_body_bytes -= e.answer->body.size();
-        one.body = e.answer->body;
+        exported.body = e.answer->body;
       }
     }
-    memory.actions.push_back(std::move(one));
+    table_export.actions.push_back(std::move(exported));
   }
-  return FormatActionExport(memory);
+  return FormatActionExport(table_export);
 }
 
 template <typename Rules>
@@ -75,62 +77,62 @@
   if (!parsed) {
     return parsed.error();
   }
-  const action_export& memory = parsed.value();
-  tenure_.covered = memory.covered;
-  tenure_.began_at = now - memory.age;
+  const action_export& table_export = parsed.value();
+  tenure_.covered = table_export.covered;
+  tenure_.began_at = now - table_export.age;
   organisations_.clear();
-  log_.Restore(memory.next, memory.first_kept, memory.words);
+  log_.Restore(table_export.next, table_export.first_kept, table_export.words);
   std::vector<const exported_action*> oldest_first;
-  for (const exported_action& one : memory.actions) {
-    oldest_first.push_back(&one);
+  for (const exported_action& exported : table_export.actions) {
+    oldest_first.push_back(&exported);
   }
   std::ranges::stable_sort(oldest_first, std::greater<>(),
                            &exported_action::age);
-  for (const exported_action* one : oldest_first) {
-    const auto place = entries_.try_emplace(one->key).first;
-    entry& e = place->second;
-    e.key = &place->first;
-    e.organisation = one->organisation;
-    e.content_hash = one->content_hash;
-    e.sequence = one->sequence;
-    e.attempt = one->attempt;
-    e.unknown_was_said = !one->done && !one->not_run;
-    if (one->done) {
+  for (const exported_action* exported : oldest_first) {
+    const auto position = entries_.try_emplace(exported->key).first;
+    entry& e = position->second;
+    e.key = &position->first;
+    e.organisation = exported->organisation;
+    e.content_hash = exported->content_hash;
+    e.sequence = exported->sequence;
+    e.attempt = exported->attempt;
+    e.unknown_was_said = !exported->done && !exported->not_run;
+    if (exported->done) {
       boost::intrusive_ptr<stored_answer> answer(new stored_answer);
-      answer->status = one->status;
-      answer->content_type = one->content_type;
-      answer->body = one->body;
-      answer->body_omitted = one->body_omitted;
+      answer->status = exported->status;
+      answer->content_type = exported->content_type;
+      answer->body = exported->body;
+      answer->body_omitted = exported->body_omitted;
       KeepAnswer(e, answer);
     }
     const entry_state ended =
-        one->not_run ? entry_state::kNotRun : entry_state::kUnknown;
-    Settle(now - one->age, e, one->done ? entry_state::kDone : ended);
+        exported->not_run ? entry_state::kNotRun : entry_state::kUnknown;
+    Settle(now - exported->age, e, exported->done ? entry_state::kDone : ended);
   }
   return OkStatus();
 }
 
 template <typename Rules>
 action_decision basic_action_table<Rules>::Begin(time_point now,
-                                                 const action_send& send) {
-  entry* e = Find(send.organisation, send.id.text);
-  return e == nullptr ? BeginUnseen(now, send) : BeginSeen(now, *e, send);
+                                                 const action_send& request) {
+  entry* e = Find(request.organisation, request.id.text);
+  return e == nullptr ? BeginUnseen(now, request) : BeginSeen(now, *e, request);
 }
 
 template <typename Rules>
-action_decision basic_action_table<Rules>::BeginSeen(time_point now, entry& e,
-                                                     const action_send& send) {
-  // `Unknown` and not `not run`: the caller might read the latter as the
-  // outcome of what the identifier was first used for.
-  if (e.content_hash != send.content_hash) {
+action_decision basic_action_table<Rules>::BeginSeen(
+    time_point now, entry& e, const action_send& request) {
+  // The outcome is kUnknown rather than kNotRun, because the caller could take
+  // kNotRun for the outcome of the first request with this identifier.
+  if (e.content_hash != request.content_hash) {
     return Refuse(action_refusal::kOtherContent, action_outcome::kUnknown);
   }
   switch (e.state) {
     case entry_state::kQueued:
     case entry_state::kRunning:
-      return Attach(e, send.waiter);
+      return Attach(e, request.waiter);
     case entry_state::kNotRun:
-      return Run(e, send.waiter);
+      return Run(e, request.waiter);
     case entry_state::kDone:
       Touch(now, e);
       return Answer(action_outcome::kDone, e.answer);
@@ -143,13 +145,13 @@
 
 template <typename Rules>
 action_decision basic_action_table<Rules>::BeginUnseen(
-    time_point now, const action_send& send) {
-  const table_memory memory{tenure_, log_,
-                            StateOf(send.organisation).caller_made_since,
-                            limits_.resend_window};
-  switch (Rules::JudgeUnseen(send.id, memory, now)) {
+    time_point now, const action_send& request) {
+  const table_memory context{tenure_, log_,
+                             StateOf(request.organisation).caller_made_since,
+                             limits_.resend_window};
+  switch (Rules::JudgeUnseen(request.id, context, now)) {
     case unseen_action::kNeverBegun:
-      return BeginNew(send);
+      return BeginNew(request);
     case unseen_action::kOtherRange:
       return Refuse(action_refusal::kOtherRange, action_outcome::kUnknown);
     case unseen_action::kLaterEpoch:
@@ -157,32 +159,34 @@
     case unseen_action::kUnknowable:
       break;
   }
-  if (!send.id.minted) {
-    RememberUnknown(now, send);
+  if (!request.id.minted) {
+    RememberUnknown(now, request);
   }
   return Answer(action_outcome::kUnknown);
 }
 
 template <typename Rules>
-action_decision basic_action_table<Rules>::BeginNew(const action_send& send) {
-  if (!MakeRoom(send.organisation)) {
+action_decision basic_action_table<Rules>::BeginNew(
+    const action_send& request) {
+  if (!MakeRoom(request.organisation)) {
     return Refuse(action_refusal::kTableFull, action_outcome::kNotRun);
   }
-  return Run(Add(send), send.waiter);
+  return Run(Add(request), request.waiter);
 }
 
-// The caller was told `unknown` only because this tenure is young. Without an
-// entry, a resend a little later would find the tenure old enough, run, and
-// could read `not run` after `unknown`. With no room for the entry, the
-// organisation's unseen identifiers stay unknowable for another window.
+// The caller gets `unknown` only because the tenure is younger than the resend
+// window. Without an entry, a later retry would find the tenure old enough and
+// run, and the caller could then receive `not run` after `unknown`. If the
+// table is full, the organisation's identifiers without an entry count as
+// possibly begun for another resend window.
 template <typename Rules>
 void basic_action_table<Rules>::RememberUnknown(time_point now,
-                                                const action_send& send) {
-  if (!MakeRoom(send.organisation)) {
-    StateOf(send.organisation).caller_made_since = now;
+                                                const action_send& request) {
+  if (!MakeRoom(request.organisation)) {
+    StateOf(request.organisation).caller_made_since = now;
     return;
   }
-  entry& e = Add(send);
+  entry& e = Add(request);
   e.unknown_was_said = true;
   Settle(now, e, entry_state::kUnknown);
 }
@@ -247,8 +251,9 @@
   return Settle(now, *e, entry_state::kUnknown);
 }
 
-// The attempt must match: the proof about a former attempt, arriving late, says
-// nothing of the one that runs now, and would let a third one run beside it.
+// The attempt must match: a late proof about an earlier attempt says nothing
+// about the current one, and accepting it would let another attempt run
+// concurrently.
 template <typename Rules>
 auto basic_action_table<Rules>::NotRun(time_point now,
                                        std::string_view organisation,
@@ -276,14 +281,14 @@
   if (e == nullptr) {
     return give_up_step::kNotWaiting;
   }
-  const auto place = std::ranges::find(e->waiters, waiter);
-  if (place == e->waiters.end()) {
+  const auto position = std::ranges::find(e->waiters, waiter);
+  if (position == e->waiters.end()) {
     return give_up_step::kNotWaiting;
   }
   if (e->state == entry_state::kQueued && e->waiters.size() == 1) {
     return give_up_step::kCancel;
   }
-  e->waiters.erase(place);
+  e->waiters.erase(position);
   e->unknown_was_said = true;
   return give_up_step::kAnswerUnknown;
 }
@@ -312,8 +317,8 @@
     -> organisation_state& {
   auto found = organisations_.find(organisation);
   if (found == organisations_.end()) {
-    const organisation_state fresh{0, tenure_.began_at};
-    found = organisations_.emplace(organisation, fresh).first;
+    const organisation_state initial{0, tenure_.began_at};
+    found = organisations_.emplace(organisation, initial).first;
   }
   return found->second;
 }
@@ -333,15 +338,15 @@
 }
 
 template <typename Rules>
-auto basic_action_table<Rules>::Add(const action_send& send) -> entry& {
-  const auto place =
-      entries_.try_emplace(KeyOf(send.organisation, send.id.text)).first;
-  entry& e = place->second;
-  e.key = &place->first;
-  e.organisation = send.organisation;
-  e.content_hash = send.content_hash;
-  if (send.id.minted) {
-    e.sequence = send.id.minted->sequence;
+auto basic_action_table<Rules>::Add(const action_send& request) -> entry& {
+  const auto position =
+      entries_.try_emplace(KeyOf(request.organisation, request.id.text)).first;
+  entry& e = position->second;
+  e.key = &position->first;
+  e.organisation = request.organisation;
+  e.content_hash = request.content_hash;
+  if (request.id.minted) {
+    e.sequence = request.id.minted->sequence;
   }
   return e;
 }
@@ -362,8 +367,9 @@
   return std::exchange(e.waiters, {});
 }
 
-// An entry with a minted identifier may be forgotten once it has ended: the
-// log still knows that it began. Nothing else remembers a caller-made one.
+// An ended entry with a minted identifier may be evicted, because the log still
+// records that it began. A caller-made identifier is recorded in its entry
+// only.
 template <typename Rules>
 void basic_action_table<Rules>::UpdatePin(entry& e) {
   const bool pinned = IsUnderWay(e) || !e.sequence;
--- a/include/foxtailspread/action_table.h
+++ b/include/foxtailspread/action_table.h
@@ -2,17 +2,19 @@
 #define FOXTAILSPREAD_ACTION_TABLE_H_
 
 /// @file
-/// The memory that a steward keeps of the at-most-once actions of its range.
+/// The table of at-most-once actions that the steward of a range keeps in
+/// memory. The steward is the host that currently coordinates the range.
 ///
 /// All requests of a range pass through its steward, so one table sees every
-/// send and resend of an action, whichever entry host took it in. The table
-/// answers one question for each send: may this run now, is it running
-/// already, how did it end, or can nobody say any more. It never lets an
-/// action run when an earlier run cannot be ruled out, and it says `not run`
-/// only of an action that provably never began.
+/// request and retry of an action, whichever entry host received it. For each
+/// request, the table decides whether the action may run now, is already
+/// running, has ended (and how), or has an outcome that can no longer be
+/// determined. It never lets an action run when an earlier run cannot be ruled
+/// out, and it reports `not run` only for an action that provably never began.
 ///
-/// A table lives and dies with a tenure. What it forgets, by a new tenure or
-/// by its bounds, reads `unknown` ever after.
+/// The content of a table lasts for one tenure: the time for which a host is
+/// steward of the range under one epoch. The outcome of an action that the
+/// table discards, at a new tenure or to respect its limits, stays `unknown`.
 
 #include <boost/intrusive/list.hpp>
 #include <boost/intrusive_ptr.hpp>
@@ -30,7 +32,7 @@
 
 namespace foxtailspread {
 
-/// What callers are told of an action; there is no fourth.
+/// The outcomes of an action that callers can receive.
 enum class action_outcome { kDone, kNotRun, kUnknown };
 
 /// Returns "done", "not-run" or "unknown", as in the header Foxtail-Outcome.
@@ -39,143 +41,151 @@
 /// Parses the names that ToString returns.
 result<action_outcome> ParseActionOutcome(std::string_view text);
 
-/// The answer of an action that ran; shared by the table and all who wait.
+/// The response of an action that ran, shared by the table and all waiters.
 struct stored_answer
     : boost::intrusive_ref_counter<stored_answer,
                                    boost::thread_unsafe_counter> {
   int status = 0;
   std::string content_type;
   std::string body;
-  /// The body was too large to keep, or was dropped for room: the action is
-  /// done, but a resend gets no body and has to be told so.
+  /// The body was too large to keep, or was dropped to free memory. The action
+  /// is done, but a retry gets no body and must be told that it is missing.
   bool body_omitted = false;
 };
 
 using answer_ptr = boost::intrusive_ptr<const stored_answer>;
 
-/// What to do with one send of an action.
+/// How to handle one request for an action.
 enum class action_step {
-  kRun,     ///< Begin it; report back with Started, Ended or NotRun.
-  kAttach,  ///< It is under way; Ended or NotRun will name this waiter.
-  kAnswer,  ///< Answer at once with `outcome` and, when done, `answer`.
-  kRefuse,  ///< Answer at once with `refusal` and `outcome`.
+  kRun,     ///< Run it, then call RecordStart, RecordEnd or
+            ///< RecordNotRun.
+  kAttach,  ///< It is queued or running; RecordEnd or RecordNotRun will
+            ///< return this waiter.
+  kAnswer,  ///< Reply at once with `outcome` and, when done, `answer`.
+  kRefuse,  ///< Reply at once with `refusal` and `outcome`.
 };
 
-/// Why a send was refused.
+/// Why a request was refused.
 enum class action_refusal {
   kNone,
-  kOtherContent,    ///< The identifier was first sent with another content.
-  kOtherRange,      ///< The identifier's home is another range.
-  kNotSteward,      ///< Minted by a later steward: this one is outdated.
-  kTooManyWaiters,  ///< Too many sends wait for the same action.
-  kTableFull,       ///< No room to remember one more action; come back.
+  kOtherContent,    ///< The identifier was first sent with different content.
+  kOtherRange,      ///< The identifier belongs to another range.
+  kNotSteward,      ///< Minted in a later epoch: this steward is outdated.
+  kTooManyWaiters,  ///< Too many requests wait for the same action.
+  kTableFull,       ///< No capacity for another action; retry later.
 };
 
 /// Returns the stable lower-case name, "other-content" for instance.
 std::string_view ToString(action_refusal refusal);
 
-/// The table's word on one send.
+/// The table's decision on one request.
 struct action_decision {
   action_step step = action_step::kRefuse;
-  /// For kAnswer and kRefuse, what the caller may be told. A refusal says
-  /// `not run` only when this action provably never began.
+  /// For kAnswer and kRefuse, the outcome to return to the caller. It is
+  /// kNotRun in a refusal only if this action provably never began.
   action_outcome outcome = action_outcome::kUnknown;
   action_refusal refusal = action_refusal::kNone;
-  /// For kRun, the number to report back with.
+  /// For kRun, the attempt number to pass to RecordStart and RecordNotRun.
   uint32_t attempt = 0;
-  answer_ptr answer;  ///< For a kAnswer of kDone; may be null.
+  answer_ptr answer;  ///< For kAnswer with kDone; may be null.
 };
 
-/// What becomes of a caller who waits no longer.
+/// How to handle a caller that stops waiting.
 enum class give_up_step {
-  kCancel,         ///< Not begun and nobody else waits: take it out of the
-                   ///< queue and call NotRun, which names this caller.
-  kAnswerUnknown,  ///< It runs or may yet run: tell this caller `unknown`.
-  kNotWaiting,     ///< This caller was answered already.
+  kCancel,  ///< Not begun and nobody else waits: remove it from the queue
+            ///< and call RecordNotRun, which returns this waiter.
+  kAnswerUnknown,  ///< It runs or may still run: reply `unknown`.
+  kNotWaiting,     ///< This caller already has its reply.
 };
 
-/// One tenure of a steward over its range.
+/// One tenure: the time for which a host is steward of a range under one
+/// epoch.
 struct action_tenure {
   std::string range;
   uint64_t epoch = 0;
   time_point began_at{};
-  /// Earlier epochs whose whole memory was taken over, in a planned handover
-  /// or by a steward that goes on under a new epoch.
+  /// Earlier epochs whose complete table was taken over, in a planned handover
+  /// or by a steward that continues under a new epoch.
   std::vector<uint64_t> covered{};
 
-  /// Returns whether this tenure's memory is complete for ids of `minted`.
+  /// Returns whether the table holds every action that began among those whose
+  /// identifiers were minted in `minted_epoch`.
   bool Covers(uint64_t minted) const;
 };
 
-/// The bounds of one table.
+/// The size and time limits of one table.
 struct action_limits {
   size_t max_entries = 100'000;
-  /// Entries of one organisation that cannot be evicted: those under way and
-  /// those with caller-made identifiers. Without this bound, one organisation
-  /// could fill the table and have the others refused.
+  /// Entries of one organisation that cannot be evicted: those queued or
+  /// running and those with caller-made identifiers. Without this limit, one
+  /// organisation could fill the table so that the requests of all others are
+  /// refused.
   size_t max_pinned_per_organisation = 20'000;
-  size_t max_waiters = 64;                    ///< Sends waiting for one action.
+  size_t max_waiters = 64;  ///< Requests waiting for one action.
   size_t max_answer_size = size_t{64} << 10;  ///< Larger bodies are not kept.
   size_t max_answer_bytes = size_t{32} << 20;
-  /// How long an ended action with a minted identifier keeps its answer.
+  /// How long the entry and answer of an ended action with a minted identifier
+  /// are kept after its last use.
   duration retention{std::chrono::minutes{10}};
-  /// How long after their last send caller-made identifiers may come again.
+  /// How long after its last request a caller may send a caller-made
+  /// identifier again. Ended entries of such identifiers are kept as long.
   duration resend_window{std::chrono::minutes{2}};
-  /// Minted sequence numbers of which the table keeps whether they began,
-  /// after the entries are gone; one bit each.
+  /// Number of minted sequence numbers for which the table still knows whether
+  /// they began after their entries were removed; one bit each.
   size_t max_logged_sequences = 4'000'000;
 };
 
-/// One send, as the steward received it.
+/// One request for an action, as the steward received it.
 struct action_send {
   const action_id& id;  ///< Checked by ParseActionId for `organisation`.
   std::string_view organisation;
-  /// A hash over service, key and body; equal for a true resend.
+  /// A hash of service, key and body; the same for every retry of a request.
   uint64_t content_hash = 0;
-  uint64_t waiter = 0;  ///< Whom Ended or NotRun will name.
+  uint64_t waiter = 0;  ///< Returned by RecordEnd or RecordNotRun.
 };
 
-/// What an action without an entry is taken for.
+/// The classification of an action that has no entry.
 enum class unseen_action {
   kNeverBegun,  ///< It cannot have begun: it may run.
-  kUnknowable,  ///< It may have begun before this table's memory.
+  kUnknowable,  ///< It may have begun; the table has no record of it.
   kOtherRange,
   kLaterEpoch,
 };
 
-/// What a table can say of identifiers that it has no entry for.
+/// The state by which an identifier without an entry is classified.
 struct table_memory {
   const action_tenure& tenure;
   const action_log& log;
-  /// Since when the table has kept every caller-made identifier of the
-  /// organisation: the start of the tenure, or later if it ran out of room.
+  /// The time since which the table has kept every caller-made identifier of
+  /// the organisation: the start of the tenure, or later if the table was full.
   time_point caller_made_since{};
   duration resend_window{};
 };
 
-/// The rules that keep an action from running twice. The table takes them as a
-/// template parameter so that its checks can be seen to catch broken ones.
+/// The rules that keep an action from running twice. They are a template
+/// parameter of the table so that tests can show that broken rules are
+/// detected.
 struct at_most_once_rules {
-  /// Judges an identifier of which the table has no entry.
+  /// Classifies an identifier that has no entry in the table.
   static unseen_action JudgeUnseen(const action_id& id,
                                    const table_memory& memory, time_point now);
-  /// The outcome of an action that was proved not to have run, when callers
-  /// may have been told `unknown` before.
+  /// Returns the outcome to report for an action that provably did not run,
+  /// given whether a caller may already have received `unknown`.
   static action_outcome JudgeNotRun(bool unknown_was_said);
 };
 
-/// The actions of one range at its steward.
+/// The actions of one range, kept by its steward.
 ///
-/// Identifiers of different organisations never meet, not even when two
-/// organisations make up the same one. Not thread-safe; keeps `limits` for
-/// its lifetime.
+/// Identifiers of different organisations are separate, even when two
+/// organisations choose the same text. Not thread-safe. The limits are fixed at
+/// construction.
 ///
 /// @code
 /// action_decision d = table.Begin(now, {id, organisation, hash, request});
 /// if (d.step == action_step::kRun) Dispatch(request, d.attempt);
-/// // ... and when the target has answered:
-/// for (uint64_t waiter : table.Ended(now, organisation, id.text,
-///                                    action_outcome::kDone, answer)) {
+/// // ... and when the target has replied:
+/// for (uint64_t waiter : table.RecordEnd(now, organisation, id.text,
+///                                        action_outcome::kDone, answer)) {
 ///   Answer(waiter, answer);
 /// }
 /// @endcode
@@ -190,44 +200,47 @@
   basic_action_table(const basic_action_table&) = delete;
   basic_action_table& operator=(const basic_action_table&) = delete;
 
-  /// Starts a tenure with an empty memory. The epoch must differ from every
-  /// earlier one of the range. Returns those who still waited: their actions
-  /// may have begun, so each is to be told `unknown`.
+  /// Clears the table and starts a tenure. The epoch must differ from every
+  /// earlier one of the range. Returns the remaining waiters: their actions may
+  /// have begun, so each must get the reply `unknown`.
   waiter_list ResetTenure(action_tenure tenure);
 
-  /// Goes on in a new epoch with everything remembered.
+  /// Continues under a new epoch and keeps all entries.
   void ContinueIn(uint64_t epoch);
 
-  /// Writes the whole memory as JSON text for the successor of a planned
-  /// handover. Answers beyond `max_body_bytes` in sum go without their bodies.
+  /// Writes the whole table as JSON text for the successor in a planned
+  /// handover. Bodies that don't fit into a total of `max_body_bytes` are
+  /// omitted.
   std::string Export(time_point now, size_t max_body_bytes) const;
 
-  /// Takes over what a predecessor exported, right after ResetTenure. Actions
-  /// that were under way there read `unknown` here. Text that cannot be read
-  /// changes nothing: the predecessor's identifiers then read `unknown`.
+  /// Loads the table that a predecessor exported; call it directly after
+  /// ResetTenure. Actions that were queued or running there are `unknown` here.
+  /// Text that cannot be parsed changes nothing: all identifiers of the
+  /// predecessor are then `unknown`.
   status Import(std::string_view text, time_point now);
 
-  /// Takes `count` sequence numbers for identifiers of this tenure and returns
-  /// the first. Only identifiers with a reserved number may run.
+  /// Reserves `count` sequence numbers for identifiers of this tenure and
+  /// returns the first. Only identifiers with a reserved number may run.
   uint64_t Reserve(uint64_t count) { return log_.Reserve(count); }
 
-  /// Decides on one send.
+  /// Decides how to handle one request.
   action_decision Begin(time_point now, const action_send& send);
 
-  /// Notes that `attempt` was handed to a target and may be running.
+  /// Records that `attempt` was sent to a target and may be running.
   void Started(std::string_view organisation, std::string_view id,
                uint32_t attempt);
 
-  /// Notes the end of an action, also a late one after `unknown`: kDone with
-  /// its answer, or kUnknown when nobody can say (kNotRun is taken for that;
-  /// only NotRun accepts a proof). Returns whom to answer.
+  /// Records the end of an action, also when it is already `unknown`: kDone
+  /// with its answer, or kUnknown if the outcome cannot be determined. kNotRun
+  /// is treated as kUnknown, because only RecordNotRun accepts a proof that an
+  /// attempt never began. Returns the waiters to reply to.
   waiter_list Ended(time_point now, std::string_view organisation,
                     std::string_view id, action_outcome outcome,
                     answer_ptr answer);
 
-  /// Notes the proof that `attempt` was never begun. A resend may then run it
-  /// again, unless `unknown` was said before. Returns whom to answer with
-  /// `outcome`, which is kUnknown in that case.
+  /// Records the proof that `attempt` never began. A retry may then run the
+  /// action, unless a caller already received `unknown`; `outcome` is kUnknown
+  /// in that case. Returns the waiters that get `outcome` as their reply.
   struct not_run_report {
     action_outcome outcome = action_outcome::kUnknown;
     waiter_list waiters;
@@ -235,11 +248,12 @@
   not_run_report NotRun(time_point now, std::string_view organisation,
                         std::string_view id, uint32_t attempt);
 
-  /// A caller waits no longer: its deadline passed or it hung up.
+  /// Decides how to handle a caller that stops waiting, because its deadline
+  /// passed or its connection closed.
   give_up_step GiveUp(std::string_view organisation, std::string_view id,
                       uint64_t waiter);
 
-  /// Forgets what is past its retention. Call it every second or so.
+  /// Removes entries past their retention time. Call it about once a second.
   void Expire(time_point now);
 
   size_t size() const { return entries_.size(); }
@@ -279,8 +293,8 @@
     time_point caller_made_since{};
   };
 
-  // The organisation's length in front keeps two organisations' identifiers
-  // apart whatever characters they contain.
+  // The length prefix keeps the identifiers of two organisations distinct,
+  // whatever characters they contain.
   static std::string KeyOf(std::string_view organisation, std::string_view id) {
     return std::to_string(organisation.size()) + ':' +
            std::string(organisation) + std::string(id);
@@ -323,7 +337,7 @@
   action_log log_;
   std::unordered_map<std::string, entry> entries_;
   std::map<std::string, organisation_state, std::less<>> organisations_;
-  // Ended entries, the longest untouched first.
+  // Ended entries, the least recently used first.
   entry_list<by_age> ended_minted_;
   entry_list<by_age> ended_caller_made_;
   entry_list<by_body> with_body_;  // the oldest answer first
--- a/src/core/action_export.cc
+++ b/src/core/action_export.cc
@@ -12,8 +12,9 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(action_export, covered, age, next,
                                    first_kept, words, actions)
 
-std::string FormatActionExport(const action_export& memory) {
-  return json(memory).dump(-1, ' ', false, json::error_handler_t::replace);
+std::string FormatActionExport(const action_export& table_export) {
+  return json(table_export)
+      .dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 result<action_export> ParseActionExport(std::string_view text) {
@@ -22,7 +23,7 @@
     return value.get<action_export>();
   } catch (const json::exception& e) {
     return error{error_code::kMalformed, "actions", e.what(),
-                 "update the host that handed over, or this one"};
+                 "run the same version on both hosts of the handover"};
   }
 }
 
--- a/src/core/action_id.cc
+++ b/src/core/action_id.cc
@@ -7,17 +7,17 @@
 namespace foxtailspread {
 namespace {
 
-// 96 of the 256 bits, the usual truncation of an HMAC; 16 characters exactly,
-// so that the text of a hash has no spare bits and hence one spelling.
+// The HMAC is truncated to 96 of its 256 bits, as is usual. They make exactly
+// 16 Base64 characters without unused bits, so that each code has one encoding.
 constexpr size_t kMacBytes = 12;
-constexpr size_t kMacLength = 16;
-constexpr int kVarintBits = 7;
-constexpr uint8_t kVarintMore = 0x80;
+constexpr size_t kMacTextLength = 16;
+constexpr int kVarintPayloadBits = 7;
+constexpr uint8_t kVarintContinuationBit = 0x80;
 constexpr int kMaxVarintShift = 63;
 constexpr int kBase64Bits = 6;
 constexpr uint32_t kBase64Mask = 0x3f;
 constexpr int kByteBits = 8;
-constexpr std::string_view kBase64Url =
+constexpr std::string_view kBase64UrlAlphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 
 std::string EncodeBase64Url(std::span<const uint8_t> bytes) {
@@ -29,11 +29,11 @@
     bits += kByteBits;
     while (bits >= kBase64Bits) {
       bits -= kBase64Bits;
-      text += kBase64Url[(pending >> bits) & kBase64Mask];
+      text += kBase64UrlAlphabet[(pending >> bits) & kBase64Mask];
     }
   }
   if (bits > 0) {
-    text += kBase64Url[(pending << (kBase64Bits - bits)) & kBase64Mask];
+    text += kBase64UrlAlphabet[(pending << (kBase64Bits - bits)) & kBase64Mask];
   }
   return text;
 }
@@ -43,7 +43,7 @@
   uint32_t pending = 0;
   int bits = 0;
   for (const char c : text) {
-    const size_t value = kBase64Url.find(c);
+    const size_t value = kBase64UrlAlphabet.find(c);
     if (value == std::string_view::npos) {
       return std::nullopt;
     }
@@ -58,23 +58,23 @@
 }
 
 void AppendVarint(uint64_t value, std::vector<uint8_t>& bytes) {
-  while (value >= kVarintMore) {
-    bytes.push_back(static_cast<uint8_t>(value) | kVarintMore);
-    value >>= kVarintBits;
+  while (value >= kVarintContinuationBit) {
+    bytes.push_back(static_cast<uint8_t>(value) | kVarintContinuationBit);
+    value >>= kVarintPayloadBits;
   }
   bytes.push_back(static_cast<uint8_t>(value));
 }
 
-std::optional<uint64_t> TakeVarint(std::span<const uint8_t>& bytes) {
+std::optional<uint64_t> ReadVarint(std::span<const uint8_t>& bytes) {
   uint64_t value = 0;
-  for (int shift = 0; shift <= kMaxVarintShift; shift += kVarintBits) {
+  for (int shift = 0; shift <= kMaxVarintShift; shift += kVarintPayloadBits) {
     if (bytes.empty()) {
       return std::nullopt;
     }
     const uint8_t byte = bytes.front();
     bytes = bytes.subspan(1);
-    value |= static_cast<uint64_t>(byte & ~kVarintMore) << shift;
-    if ((byte & kVarintMore) == 0) {
+    value |= static_cast<uint64_t>(byte & ~kVarintContinuationBit) << shift;
+    if ((byte & kVarintContinuationBit) == 0) {
       return value;
     }
   }
@@ -95,8 +95,8 @@
     return std::nullopt;
   }
   std::span<const uint8_t> rest = *bytes;
-  const std::optional<uint64_t> epoch = TakeVarint(rest);
-  const std::optional<uint64_t> sequence = TakeVarint(rest);
+  const std::optional<uint64_t> epoch = ReadVarint(rest);
+  const std::optional<uint64_t> sequence = ReadVarint(rest);
   if (!epoch || !sequence || rest.empty()) {
     return std::nullopt;
   }
@@ -104,9 +104,9 @@
                        *sequence};
 }
 
-// The length in front keeps ("ab", "c...") and ("a", "bc...") apart.
-std::string MacText(std::string_view organisation, std::string_view payload,
-                    const action_secret& secret) {
+// The length prefix keeps ("ab", "c...") and ("a", "bc...") distinct.
+std::string EncodedMac(std::string_view organisation, std::string_view payload,
+                       const action_secret& secret) {
   std::string message(kMintedActionPrefix);
   message += std::to_string(organisation.size());
   message += ':';
@@ -116,8 +116,9 @@
   return EncodeBase64Url(std::span(digest).first(kMacBytes));
 }
 
-// Takes as long for a wrong first character as for a wrong last one; with an
-// early exit a forger could find the hash character by character.
+// Takes the same time wherever the texts differ. With an early exit, an
+// attacker could find the authentication code character by character from the
+// response times.
 bool EqualInConstantTime(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) {
     return false;
@@ -129,42 +130,42 @@
   return difference == 0;
 }
 
-bool IsCallerCharacter(char c) {
+bool IsCallerIdCharacter(char c) {
   return (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z') ||
          (c >= '0' && c <= '9') || c == '.' || c == '_' || c == '-';
 }
 
-bool IsUsable(const action_secret& secret) {
+bool HasKeyAndFunction(const action_secret& secret) {
   return !secret.key.empty() && secret.mac != nullptr;
 }
 
-error MissingSecret() {
+error MissingSecretError() {
   return {error_code::kMissingField, "action_secret",
-          "identifiers cannot be checked without a key",
+          "action identifiers cannot be verified without a key",
           "set the deployment's action key on every entry host"};
 }
 
-error NotMintedForCaller() {
+error NotMintedForCallerError() {
   return {error_code::kForbidden, "Foxtail-Action",
-          "this identifier was not minted for your organisation",
-          "take one from POST /v1/actions"};
+          "the action identifier was not minted for your organisation",
+          "request one with POST /v1/actions"};
 }
 
 result<action_id> ParseMinted(std::string_view text,
                               std::string_view organisation,
                               const action_secret& secret) {
   const std::string_view rest = text.substr(kMintedActionPrefix.size());
-  if (text.size() > kMaxActionIdLength || rest.size() <= kMacLength) {
-    return NotMintedForCaller();
+  if (text.size() > kMaxActionIdLength || rest.size() <= kMacTextLength) {
+    return NotMintedForCallerError();
   }
-  const std::string_view payload = rest.substr(0, rest.size() - kMacLength);
-  const std::string expected = MacText(organisation, payload, secret);
+  const std::string_view payload = rest.substr(0, rest.size() - kMacTextLength);
+  const std::string expected = EncodedMac(organisation, payload, secret);
   if (!EqualInConstantTime(expected, rest.substr(payload.size()))) {
-    return NotMintedForCaller();
+    return NotMintedForCallerError();
   }
   std::optional<minted_action> minted = DecodeOrigin(payload);
   if (!minted) {
-    return NotMintedForCaller();
+    return NotMintedForCallerError();
   }
   return action_id{std::string(text), std::move(minted)};
 }
@@ -173,37 +174,38 @@
 
 result<std::string> MintActionId(const action_origin& origin,
                                  const action_secret& secret) {
-  if (!IsUsable(secret)) {
-    return MissingSecret();
+  if (!HasKeyAndFunction(secret)) {
+    return MissingSecretError();
   }
   if (origin.range.empty() || origin.range.size() > kMaxActionRangeLength) {
     return error{error_code::kTooLarge, "range",
-                 "the name '" + origin.range + "' does not fit an identifier",
+                 "range name '" + origin.range +
+                     "' does not fit into an action identifier",
                  "use 1 to " + std::to_string(kMaxActionRangeLength) +
                      " characters for service and zone together"};
   }
   const std::string payload = EncodeOrigin(origin);
   std::string text(kMintedActionPrefix);
   text += payload;
-  text += MacText(origin.organisation, payload, secret);
+  text += EncodedMac(origin.organisation, payload, secret);
   return text;
 }
 
 result<action_id> ParseActionId(std::string_view text,
                                 std::string_view organisation,
                                 const action_secret& secret) {
-  if (!IsUsable(secret)) {
-    return MissingSecret();
+  if (!HasKeyAndFunction(secret)) {
+    return MissingSecretError();
   }
   if (text.starts_with(kMintedActionPrefix)) {
     return ParseMinted(text, organisation, secret);
   }
-  const bool length_fits = text.size() >= kMinCallerActionLength &&
-                           text.size() <= kMaxCallerActionLength;
-  if (!length_fits || !std::ranges::all_of(text, IsCallerCharacter)) {
+  const bool has_valid_length = text.size() >= kMinCallerActionLength &&
+                                text.size() <= kMaxCallerActionLength;
+  if (!has_valid_length || !std::ranges::all_of(text, IsCallerIdCharacter)) {
     return error{error_code::kMalformed, "Foxtail-Action",
-                 "this is not an action identifier",
-                 "take one from POST /v1/actions, or make one of 8 to 64 "
+                 "the value is not a valid action identifier",
+                 "request one with POST /v1/actions, or choose one of 8 to 64 "
                  "letters, digits, '.', '_' or '-'"};
   }
   return action_id{std::string(text), std::nullopt};
--- a/src/core/action_log.cc
+++ b/src/core/action_log.cc
@@ -7,7 +7,7 @@
 
 constexpr uint64_t kWordBits = 64;
 
-uint64_t BitOf(uint64_t sequence) {
+uint64_t BitMask(uint64_t sequence) {
   return uint64_t{1} << (sequence % kWordBits);
 }
 
@@ -50,7 +50,7 @@
   }
   const uint64_t index = sequence / kWordBits - first_word_;
   const bool begun =
-      index < words_.size() && (words_[index] & BitOf(sequence)) != 0;
+      index < words_.size() && (words_[index] & BitMask(sequence)) != 0;
   return begun ? sequence_state::kBegun : sequence_state::kNeverBegun;
 }
 
@@ -59,26 +59,26 @@
     return;
   }
   const uint64_t word = sequence / kWordBits;
-  // A number far ahead must not make the log allocate all words between:
-  // what lies before the kept stretch is dropped first.
+  // Words before the new kept range are dropped before the resize, so that a
+  // number far above the last one doesn't allocate all words in between.
   if (word >= first_word_ + max_words_) {
-    const uint64_t first = word + 1 - max_words_;
-    const uint64_t dropped =
-        std::min<uint64_t>(first - first_word_, words_.size());
+    const uint64_t new_first_word = word + 1 - max_words_;
+    const uint64_t dropped_words =
+        std::min<uint64_t>(new_first_word - first_word_, words_.size());
     words_.erase(words_.begin(),
-                 words_.begin() + static_cast<std::ptrdiff_t>(dropped));
-    first_word_ = first;
+                 words_.begin() + static_cast<std::ptrdiff_t>(dropped_words));
+    first_word_ = new_first_word;
   }
   if (word - first_word_ >= words_.size()) {
     words_.resize(word - first_word_ + 1);
   }
-  words_[word - first_word_] |= BitOf(sequence);
+  words_[word - first_word_] |= BitMask(sequence);
 }
 
 void action_log::MarkNotBegun(uint64_t sequence) {
   const uint64_t index = sequence / kWordBits - first_word_;
   if (IsKept(sequence) && index < words_.size()) {
-    words_[index] &= ~BitOf(sequence);
+    words_[index] &= ~BitMask(sequence);
   }
 }
 
--- a/src/core/action_pool.cc
+++ b/src/core/action_pool.cc
@@ -9,15 +9,15 @@
   if (found == turns_.end()) {
     found = turns_.emplace(service.name, 0).first;
   }
-  const size_t turn = found->second++ % service.targets.size();
-  return RangeName(service.name, service.targets[turn].zone);
+  const size_t target_index = found->second++ % service.targets.size();
+  return RangeName(service.name, service.targets[target_index].zone);
 }
 
 void action_pool::Keep(std::string_view organisation, std::string_view range,
                        std::string id) {
-  auto& kept = kept_[holder(organisation, range)];
-  if (kept.size() < kMostKept) {
-    kept.push_back(std::move(id));
+  auto& ids = kept_[holder(organisation, range)];
+  if (ids.size() < kMostKept) {
+    ids.push_back(std::move(id));
   }
 }
 
--- a/src/core/action_table.cc
+++ b/src/core/action_table.cc
@@ -4,8 +4,9 @@
 
 namespace foxtailspread {
 
-bool action_tenure::Covers(uint64_t minted) const {
-  return minted == epoch || std::ranges::find(covered, minted) != covered.end();
+bool action_tenure::Covers(uint64_t minted_epoch) const {
+  return minted_epoch == epoch ||
+         std::ranges::find(covered, minted_epoch) != covered.end();
 }
 
 std::string_view ToString(action_outcome outcome) {
@@ -53,43 +54,44 @@
 
 namespace {
 
-// A caller-made identifier may be the resend of one that the former steward
-// ran. Callers promise to resend within the window only, so once the tenure is
-// older than that, an identifier without an entry is new. Run at once instead,
-// a report signed just before a takeover would be signed again.
-unseen_action JudgeCallerMade(const table_memory& memory, time_point now) {
-  const bool may_be_a_resend =
-      now < memory.caller_made_since + memory.resend_window;
-  return may_be_a_resend ? unseen_action::kUnknowable
-                         : unseen_action::kNeverBegun;
+// A caller-made identifier may be a retry of one that the previous steward ran.
+// Callers may retry only within the resend window, so once the table has kept
+// all identifiers for that long, one without an entry is new. Without the wait,
+// an action that ran just before a takeover could run again.
+unseen_action ClassifyCallerMade(const table_memory& context, time_point now) {
+  const bool may_be_resend =
+      now < context.caller_made_since + context.resend_window;
+  return may_be_resend ? unseen_action::kUnknowable
+                       : unseen_action::kNeverBegun;
 }
 
 }  // namespace
 
 unseen_action at_most_once_rules::JudgeUnseen(const action_id& id,
-                                              const table_memory& memory,
+                                              const table_memory& context,
                                               time_point now) {
   if (!id.minted) {
-    return JudgeCallerMade(memory, now);
+    return ClassifyCallerMade(context, now);
   }
-  if (id.minted->range != memory.tenure.range) {
+  if (id.minted->range != context.tenure.range) {
     return unseen_action::kOtherRange;
   }
-  if (id.minted->epoch > memory.tenure.epoch) {
+  if (id.minted->epoch > context.tenure.epoch) {
     return unseen_action::kLaterEpoch;
   }
-  if (!memory.tenure.Covers(id.minted->epoch)) {
+  if (!context.tenure.Covers(id.minted->epoch)) {
     return unseen_action::kUnknowable;
   }
-  // A number that this tenure never handed out, under its own epoch, means
-  // that the epoch was used twice: the other holder may have run it.
+  // A sequence number that this tenure never reserved, under its own epoch,
+  // means that two stewards used the epoch: the other one may have run it.
   const bool never_begun =
-      memory.log.StateOf(id.minted->sequence) == sequence_state::kNeverBegun;
+      context.log.StateOf(id.minted->sequence) == sequence_state::kNeverBegun;
   return never_begun ? unseen_action::kNeverBegun : unseen_action::kUnknowable;
 }
 
-action_outcome at_most_once_rules::JudgeNotRun(bool unknown_was_said) {
-  return unknown_was_said ? action_outcome::kUnknown : action_outcome::kNotRun;
+action_outcome at_most_once_rules::JudgeNotRun(bool unknown_was_reported) {
+  return unknown_was_reported ? action_outcome::kUnknown
+                              : action_outcome::kNotRun;
 }
 
 }  // namespace foxtailspread
--- a/tests/action_id_test.cc
+++ b/tests/action_id_test.cc
@@ -17,7 +17,7 @@
   return MintActionId(origin, Secret()).value();
 }
 
-TEST(ActionIdTest, HmacOfTheStandardsExampleMatches) {
+TEST(ActionIdTest, HmacMatchesRfc4231Example) {
   // RFC 4231, test case 2.
   const mac_digest digest = GlibMac("Jefe", "what do ya want for nothing?");
   EXPECT_EQ(digest[0], 0x5b);
@@ -25,49 +25,49 @@
   EXPECT_EQ(digest[31], 0x43);
 }
 
-RC_GTEST_PROP(ActionIdTest, MintedIdentifierReadsBackForItsOrganisation,
+RC_GTEST_PROP(ActionIdTest, MintedIdentifierParsesForItsOrganisation,
               (uint64_t epoch, uint64_t sequence)) {
   const size_t length = *rc::gen::inRange<size_t>(1, kMaxActionRangeLength + 1);
-  const minted_action want{std::string(length, 'r'), epoch, sequence};
+  const minted_action expected{std::string(length, 'r'), epoch, sequence};
   const std::string text =
-      Mint({"prairie", want.range, want.epoch, want.sequence});
+      Mint({"prairie", expected.range, expected.epoch, expected.sequence});
   RC_ASSERT(text.size() <= kMaxActionIdLength);
   RC_ASSERT(text.find_first_not_of(
                 "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
                 "0123456789-_.") == std::string::npos);
   const result<action_id> parsed = ParseActionId(text, "prairie", Secret());
   RC_ASSERT(parsed.has_value());
-  RC_ASSERT(parsed.value().minted == want);
+  RC_ASSERT(parsed.value().minted == expected);
 }
 
-TEST(ActionIdTest, LargestNumbersAndLongestRangeFit) {
+TEST(ActionIdTest, LargestNumbersAndLongestRangeFitMaxLength) {
   constexpr uint64_t kMax = std::numeric_limits<uint64_t>::max();
   const std::string range(kMaxActionRangeLength, 'z');
   EXPECT_EQ(Mint({"o", range, kMax, kMax}).size(), kMaxActionIdLength);
 }
 
-TEST(ActionIdTest, TooLongRangeIsRefusedWithARemedy) {
+TEST(ActionIdTest, TooLongRangeIsTooLarge) {
   const std::string range(kMaxActionRangeLength + 1, 'z');
   const result<std::string> minted = MintActionId({"o", range, 1, 1}, Secret());
   ASSERT_FALSE(minted);
   EXPECT_EQ(minted.error().code, error_code::kTooLarge);
 }
 
-// A shop gets hold of a rival's identifier, from a shared screen or a log, and
-// sends it as its own. It must not learn whether the rival's order exists: the
-// refusal reads exactly as for an identifier that somebody made up.
-TEST(ActionIdTest, OtherOrganisationsIdentifierReadsAsMadeUp) {
-  const result<action_id> stolen =
+// A caller that sends an identifier of another organisation, seen in a log for
+// instance, must not learn whether that action exists: the error is the same as
+// for an invented identifier.
+TEST(ActionIdTest, OtherOrganisationsIdentifierGivesSameErrorAsInventedOne) {
+  const result<action_id> foreign =
       ParseActionId(Mint(Origin()), "prairie", Secret());
   const result<action_id> invented = ParseActionId(
       "fa1.AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "prairie", Secret());
-  ASSERT_FALSE(stolen);
+  ASSERT_FALSE(foreign);
   ASSERT_FALSE(invented);
-  EXPECT_EQ(stolen.error().code, error_code::kForbidden);
-  EXPECT_EQ(stolen.error().Message(), invented.error().Message());
+  EXPECT_EQ(foreign.error().code, error_code::kForbidden);
+  EXPECT_EQ(foreign.error().Message(), invented.error().Message());
 }
 
-// A caller who changes one character could otherwise name another epoch, and a
+// If a changed identifier were accepted, it could contain another epoch, and a
 // steward would take an old action for one that never began and run it again.
 TEST(ActionIdTest, AnyChangedCharacterIsRefused) {
   const std::string text = Mint(Origin());
@@ -78,14 +78,14 @@
   }
 }
 
-TEST(ActionIdTest, CallerMadeIdentifierIsAcceptedAsSuch) {
+TEST(ActionIdTest, CallerMadeIdentifierIsAcceptedAsNotMinted) {
   const result<action_id> parsed =
       ParseActionId("order-2024.17_b", "prairie", Secret());
   ASSERT_TRUE(parsed);
   EXPECT_FALSE(parsed.value().minted);
 }
 
-TEST(ActionIdTest, CallerMadeIdentifierOutOfShapeIsMalformed) {
+TEST(ActionIdTest, InvalidCallerMadeIdentifierIsMalformed) {
   for (const std::string& text :
        {std::string("short"), std::string(65, 'a'), std::string("has space"),
         std::string("sla/sh/es"), std::string()}) {
--- a/tests/action_proof_test.cc
+++ b/tests/action_proof_test.cc
@@ -18,9 +18,9 @@
 using testing::SmallConfig;
 using testing::virtual_deployment;
 
-constexpr uint64_t kSeeds = 200;
-constexpr duration kLongWork{milliseconds{300}};
-constexpr duration kInTheMiddle{milliseconds{100}};
+constexpr uint64_t kSeedCount = 200;
+constexpr duration kLongWorkTime{milliseconds{300}};
+constexpr duration kMidRunDelay{milliseconds{100}};
 
 deployment_options Options(uint64_t seed) {
   deployment_options options;
@@ -35,26 +35,28 @@
           "signing-zone2-2"};
 }
 
-/// A deployment that has come up and whose callers sign reports.
-class action_world : public virtual_deployment {
+/// A running simulated deployment whose callers send actions that sign reports.
+class action_deployment : public virtual_deployment {
  public:
-  explicit action_world(uint64_t seed) : virtual_deployment(Options(seed)) {
+  explicit action_deployment(uint64_t seed)
+      : virtual_deployment(Options(seed)) {
     RunFor(seconds{2});
   }
 
-  /// Returns an action with an identifier minted now.
+  /// Returns a new action with a newly minted identifier.
   call_options NewAction(duration work = milliseconds{2}) {
     call_options action;
     action.action = Mint("zone1-1", "signing");
-    action.body = "report " + std::to_string(++actions_);
+    action.body = "report " + std::to_string(++action_count_);
     action.work = work;
     return action;
   }
   uint64_t Send(const std::string& host, const call_options& action) {
     return Call(host, "signing", "report", action);
   }
-  /// Sends and waits for the answer.
-  const call_result& Ask(const std::string& host, const call_options& action) {
+  /// Sends the action, runs the simulation for 3 s and returns the result.
+  const call_result& SendAndWait(const std::string& host,
+                                 const call_options& action) {
     const uint64_t call = Send(host, action);
     RunFor(seconds{3});
     return Result(call);
@@ -67,18 +69,18 @@
   std::string StewardFor(const call_options& action) const {
     return StewardOf(RangeOf(action));
   }
-  /// Returns a host that is steward neither of the action nor equal `not_this`.
+  /// Returns a ready host that is neither the action's steward nor `excluded`.
   std::string OtherHost(const call_options& action,
-                        const std::string& not_this = "") const {
+                        const std::string& excluded = "") const {
     for (const std::string& host : HostNames()) {
-      if (host != StewardFor(action) && host != not_this && HostReady(host)) {
+      if (host != StewardFor(action) && host != excluded && HostReady(host)) {
         return host;
       }
     }
     return "";
   }
-  /// Returns the target that runs the action now, or "".
-  std::string RunsAt(const call_options& action) {
+  /// Returns the target that currently runs the action, or "".
+  std::string RunningTarget(const call_options& action) {
     for (const std::string& name : SigningTargets()) {
       for (const target_run& run : Target(name).Runs()) {
         if (run.body_sum == HashText(action.body) &&
@@ -89,8 +91,8 @@
     }
     return "";
   }
-  /// Returns how often running targets have begun the action.
-  int Runs(const call_options& action) {
+  /// Returns how many runs of the action the targets that are up have begun.
+  int RunCount(const call_options& action) {
     int runs = 0;
     for (const std::string& name : SigningTargets()) {
       for (const target_run& run : Target(name).Runs()) {
@@ -101,270 +103,276 @@
   }
 
  private:
-  int actions_ = 0;
+  int action_count_ = 0;
 };
 
 class ActionProofTest : public ::testing::TestWithParam<uint64_t> {
  protected:
-  action_world world_{GetParam()};
+  action_deployment deployment_{GetParam()};
 };
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ActionProofTest,
                          ::testing::Range<uint64_t>(1, 6));
 
-// A caller gives up waiting and sends its report again through another entry
-// host while the first send still runs. Both lines must get the one answer.
-TEST_P(ActionProofTest, ResendWhileItRunsGetsTheAnswerOfTheOneRun) {
-  const call_options action = world_.NewAction(kLongWork);
-  const uint64_t first = world_.Send("zone1-1", action);
-  world_.RunFor(kInTheMiddle);
-  ASSERT_NE(world_.RunsAt(action), "");
-  const call_result second = world_.Ask("zone2-2", action);
-  EXPECT_TRUE(world_.Result(first).Done());
+// A caller retries through another entry host while the first request still
+// runs. Both connections must get the answer of the one run.
+TEST_P(ActionProofTest, RetryWhileRunningGetsAnswerOfTheRun) {
+  const call_options action = deployment_.NewAction(kLongWorkTime);
+  const uint64_t first = deployment_.Send("zone1-1", action);
+  deployment_.RunFor(kMidRunDelay);
+  ASSERT_NE(deployment_.RunningTarget(action), "");
+  const call_result second = deployment_.SendAndWait("zone2-2", action);
+  EXPECT_TRUE(deployment_.Result(first).Done());
   EXPECT_TRUE(second.Done()) << second.code;
-  EXPECT_EQ(second.body, world_.Result(first).body);
-  EXPECT_EQ(world_.Runs(action), 1);
-  EXPECT_EQ(world_.Violations(), "");
+  EXPECT_EQ(second.body, deployment_.Result(first).body);
+  EXPECT_EQ(deployment_.RunCount(action), 1);
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// The answer came but the caller lost it and asks each entry host again.
-TEST_P(ActionProofTest, ResendAfterDoneGetsTheSameAnswerAtEveryHost) {
-  const call_options action = world_.NewAction();
-  const call_result first = world_.Ask("zone1-1", action);
+// The caller lost the answer and retries through every entry host.
+TEST_P(ActionProofTest, RetryAfterDoneGetsSameAnswerAtEveryHost) {
+  const call_options action = deployment_.NewAction();
+  const call_result first = deployment_.SendAndWait("zone1-1", action);
   ASSERT_TRUE(first.Done()) << first.code;
-  for (const std::string& host : world_.HostNames()) {
-    const call_result again = world_.Ask(host, action);
-    EXPECT_TRUE(again.Done()) << host << " " << again.code;
-    EXPECT_EQ(again.body, first.body);
+  for (const std::string& host : deployment_.HostNames()) {
+    const call_result retry = deployment_.SendAndWait(host, action);
+    EXPECT_TRUE(retry.Done()) << host << " " << retry.code;
+    EXPECT_EQ(retry.body, first.body);
   }
-  EXPECT_EQ(world_.Runs(action), 1);
-  EXPECT_EQ(world_.Violations(), "");
+  EXPECT_EQ(deployment_.RunCount(action), 1);
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// The entry host that took a report in dies while the report is being signed.
-// The caller sees its connection close and sends again through another.
-TEST_P(ActionProofTest, ResendAfterItsEntryHostDiedFindsTheRun) {
-  const call_options action = world_.NewAction(kLongWork);
-  const std::string first_host = world_.OtherHost(action);
-  const uint64_t first = world_.Send(first_host, action);
-  world_.RunFor(kInTheMiddle);
-  ASSERT_NE(world_.RunsAt(action), "");
-  world_.KillHost(first_host);
-  EXPECT_TRUE(world_.Result(first).connection_lost);
-  const call_result again =
-      world_.Ask(world_.OtherHost(action, first_host), action);
-  EXPECT_TRUE(again.Done()) << again.code;
-  EXPECT_EQ(world_.Runs(action), 1);
-  EXPECT_EQ(world_.Violations(), "");
+// The entry host that received a request fails while the action runs. The
+// caller's connection closes, and it retries through another entry host.
+TEST_P(ActionProofTest, RetryAfterEntryHostFailureGetsAnswerOfTheRun) {
+  const call_options action = deployment_.NewAction(kLongWorkTime);
+  const std::string first_host = deployment_.OtherHost(action);
+  const uint64_t first = deployment_.Send(first_host, action);
+  deployment_.RunFor(kMidRunDelay);
+  ASSERT_NE(deployment_.RunningTarget(action), "");
+  deployment_.KillHost(first_host);
+  EXPECT_TRUE(deployment_.Result(first).connection_lost);
+  const call_result retry = deployment_.SendAndWait(
+      deployment_.OtherHost(action, first_host), action);
+  EXPECT_TRUE(retry.Done()) << retry.code;
+  EXPECT_EQ(deployment_.RunCount(action), 1);
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// The steward dies while a report is being signed, and with it all memory of
-// the action. Its successor cannot know whether it ran: the caller must hear
-// that, and go on hearing it, rather than have the report signed twice.
-TEST_P(ActionProofTest, ActionOfAKilledStewardReadsUnknownForGood) {
-  const call_options action = world_.NewAction(kLongWork);
-  const std::string host = world_.OtherHost(action);
-  const uint64_t first = world_.Send(host, action);
-  world_.RunFor(kInTheMiddle);
-  ASSERT_NE(world_.RunsAt(action), "");
-  world_.KillHost(world_.StewardFor(action));
-  world_.RunFor(seconds{4});
-  EXPECT_EQ(world_.Result(first).outcome, request_outcome::kUnknown);
-  EXPECT_GE(world_.Result(first).answered_us, 0);
+// The steward fails while an action runs, and its table is lost. Its successor
+// cannot know whether the action ran, so it must reply "unknown" to the caller
+// and to all retries; otherwise the action could run twice.
+TEST_P(ActionProofTest, ActionOfKilledStewardStaysUnknown) {
+  const call_options action = deployment_.NewAction(kLongWorkTime);
+  const std::string host = deployment_.OtherHost(action);
+  const uint64_t first = deployment_.Send(host, action);
+  deployment_.RunFor(kMidRunDelay);
+  ASSERT_NE(deployment_.RunningTarget(action), "");
+  deployment_.KillHost(deployment_.StewardFor(action));
+  deployment_.RunFor(seconds{4});
+  EXPECT_EQ(deployment_.Result(first).outcome, request_outcome::kUnknown);
+  EXPECT_GE(deployment_.Result(first).answered_us, 0);
   for (int i = 0; i < 10; ++i) {
-    const call_result again = world_.Ask(world_.OtherHost(action), action);
-    ASSERT_GE(again.answered_us, 0);
-    EXPECT_EQ(again.outcome, request_outcome::kUnknown) << again.code;
+    const call_result retry =
+        deployment_.SendAndWait(deployment_.OtherHost(action), action);
+    ASSERT_GE(retry.answered_us, 0);
+    EXPECT_EQ(retry.outcome, request_outcome::kUnknown) << retry.code;
   }
-  EXPECT_EQ(world_.Runs(action), 1);
-  const call_result fresh = world_.Ask(host, world_.NewAction());
+  EXPECT_EQ(deployment_.RunCount(action), 1);
+  const call_result fresh =
+      deployment_.SendAndWait(host, deployment_.NewAction());
   EXPECT_TRUE(fresh.Done()) << fresh.code;
-  EXPECT_EQ(world_.Violations(), "");
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// An operator stops the steward for an upgrade. What it knew goes to its
-// successor, so users notice nothing: done stays done, identifiers that were
-// handed out and not yet used may still be used.
-TEST_P(ActionProofTest, IdentifiersGoOnWorkingThroughAGracefulHandover) {
-  const call_options done = world_.NewAction();
-  const std::string range = world_.RangeOf(done);
-  const std::string steward = world_.StewardFor(done);
-  call_options unused = world_.NewAction();
-  for (int i = 0; i < 20 && world_.RangeOf(unused) != range; ++i) {
-    unused = world_.NewAction();
+// An operator stops the steward for an upgrade. Its table goes to its
+// successor: done actions stay done, and identifiers that were minted and not
+// yet used can still be used.
+TEST_P(ActionProofTest, IdentifiersStayValidAfterPlannedHandover) {
+  const call_options done = deployment_.NewAction();
+  const std::string range = deployment_.RangeOf(done);
+  const std::string steward = deployment_.StewardFor(done);
+  call_options unused = deployment_.NewAction();
+  for (int i = 0; i < 20 && deployment_.RangeOf(unused) != range; ++i) {
+    unused = deployment_.NewAction();
   }
-  ASSERT_EQ(world_.RangeOf(unused), range);
-  const std::string host = world_.OtherHost(done);
-  const call_result first = world_.Ask(host, done);
+  ASSERT_EQ(deployment_.RangeOf(unused), range);
+  const std::string host = deployment_.OtherHost(done);
+  const call_result first = deployment_.SendAndWait(host, done);
   ASSERT_TRUE(first.Done()) << first.code;
 
-  world_.LeaveHost(steward);
-  world_.RunFor(seconds{5});
-  ASSERT_NE(world_.StewardOf(range), steward);
-  ASSERT_NE(world_.StewardOf(range), "");
-  const call_result again = world_.Ask(host, done);
-  EXPECT_TRUE(again.Done()) << again.code;
-  EXPECT_EQ(again.body, first.body);
-  const call_result first_use = world_.Ask(host, unused);
+  deployment_.LeaveHost(steward);
+  deployment_.RunFor(seconds{5});
+  ASSERT_NE(deployment_.StewardOf(range), steward);
+  ASSERT_NE(deployment_.StewardOf(range), "");
+  const call_result retry = deployment_.SendAndWait(host, done);
+  EXPECT_TRUE(retry.Done()) << retry.code;
+  EXPECT_EQ(retry.body, first.body);
+  const call_result first_use = deployment_.SendAndWait(host, unused);
   EXPECT_TRUE(first_use.Done()) << first_use.code;
-  EXPECT_EQ(world_.Runs(done), 1);
-  EXPECT_EQ(world_.Runs(unused), 1);
-  EXPECT_EQ(world_.Violations(), "");
+  EXPECT_EQ(deployment_.RunCount(done), 1);
+  EXPECT_EQ(deployment_.RunCount(unused), 1);
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// Reports are sent all the while the steward leaves. Each must end done:
-// a planned handover costs nobody an answer.
-TEST_P(ActionProofTest, ActionsSentDuringAGracefulHandoverAreAllDone) {
-  const call_options probe = world_.NewAction();
-  const std::string steward = world_.StewardFor(probe);
-  const std::string host = world_.OtherHost(probe);
+// Actions are sent while the steward leaves. Each must end with done: a planned
+// handover must not lose any answer.
+TEST_P(ActionProofTest, ActionsSentDuringPlannedHandoverAreAllDone) {
+  const call_options first_action = deployment_.NewAction();
+  const std::string steward = deployment_.StewardFor(first_action);
+  const std::string host = deployment_.OtherHost(first_action);
   std::vector<call_options> actions;
   actions.reserve(60);
   for (int i = 0; i < 60; ++i) {
-    actions.push_back(world_.NewAction());
+    actions.push_back(deployment_.NewAction());
   }
-  world_.LeaveHost(steward);
+  deployment_.LeaveHost(steward);
   for (const call_options& action : actions) {
-    world_.Send(host, action);
-    world_.RunFor(milliseconds{50});
+    deployment_.Send(host, action);
+    deployment_.RunFor(milliseconds{50});
   }
-  world_.RunFor(seconds{3});
-  for (const auto& [id, call] : world_.calls()) {
+  deployment_.RunFor(seconds{3});
+  for (const auto& [id, call] : deployment_.calls()) {
     EXPECT_TRUE(call.Done()) << id << " " << call.code << " " << call.status;
   }
-  EXPECT_EQ(world_.Violations(), "");
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// The target dies while it signs. Whether the signature was made is known to
-// nobody; a second target must not try.
-TEST_P(ActionProofTest, ActionOfAKilledTargetIsUnknownAndNotRunElsewhere) {
-  const call_options action = world_.NewAction(kLongWork);
-  const uint64_t first = world_.Send("zone1-1", action);
-  world_.RunFor(kInTheMiddle);
-  const std::string target = world_.RunsAt(action);
+// The target fails while it runs an action. Whether the action took effect
+// cannot be determined, so no other target may run it.
+TEST_P(ActionProofTest, ActionOfKilledTargetIsUnknownAndNotRunElsewhere) {
+  const call_options action = deployment_.NewAction(kLongWorkTime);
+  const uint64_t first = deployment_.Send("zone1-1", action);
+  deployment_.RunFor(kMidRunDelay);
+  const std::string target = deployment_.RunningTarget(action);
   ASSERT_NE(target, "");
-  world_.KillTarget(target);
-  world_.StartTarget(target);
-  world_.RunFor(seconds{3});
-  EXPECT_EQ(world_.Result(first).outcome, request_outcome::kUnknown);
-  EXPECT_GE(world_.Result(first).answered_us, 0);
-  const call_result again = world_.Ask("zone2-2", action);
-  EXPECT_EQ(again.outcome, request_outcome::kUnknown) << again.code;
-  EXPECT_EQ(world_.Runs(action), 0);
-  EXPECT_EQ(world_.Violations(), "");
+  deployment_.KillTarget(target);
+  deployment_.StartTarget(target);
+  deployment_.RunFor(seconds{3});
+  EXPECT_EQ(deployment_.Result(first).outcome, request_outcome::kUnknown);
+  EXPECT_GE(deployment_.Result(first).answered_us, 0);
+  const call_result retry = deployment_.SendAndWait("zone2-2", action);
+  EXPECT_EQ(retry.outcome, request_outcome::kUnknown) << retry.code;
+  EXPECT_EQ(deployment_.RunCount(action), 0);
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// The target stands still while it signs, for longer than the caller allows,
-// and goes on afterwards. Both an early and a late resend must not run it.
-TEST_P(ActionProofTest, ActionOfAFrozenTargetIsUnknownAndNotRunElsewhere) {
-  const call_options action = world_.NewAction(kLongWork);
-  const uint64_t first = world_.Send("zone1-1", action);
-  world_.RunFor(kInTheMiddle);
-  const std::string target = world_.RunsAt(action);
+// The target freezes while it runs an action, beyond the caller's deadline, and
+// continues afterwards. Neither a retry during the freeze nor one after it may
+// run the action again.
+TEST_P(ActionProofTest, ActionOfFrozenTargetIsUnknownAndNotRunElsewhere) {
+  const call_options action = deployment_.NewAction(kLongWorkTime);
+  const uint64_t first = deployment_.Send("zone1-1", action);
+  deployment_.RunFor(kMidRunDelay);
+  const std::string target = deployment_.RunningTarget(action);
   ASSERT_NE(target, "");
   target_faults faults;
   faults.freeze_ms = 6000;
-  world_.SetTargetFaults(target, faults);
-  world_.RunFor(seconds{3});
-  EXPECT_EQ(world_.Result(first).outcome, request_outcome::kUnknown);
-  EXPECT_GE(world_.Result(first).answered_us, 0);
-  const call_result early = world_.Ask("zone2-2", action);
+  deployment_.SetTargetFaults(target, faults);
+  deployment_.RunFor(seconds{3});
+  EXPECT_EQ(deployment_.Result(first).outcome, request_outcome::kUnknown);
+  EXPECT_GE(deployment_.Result(first).answered_us, 0);
+  const call_result early = deployment_.SendAndWait("zone2-2", action);
   EXPECT_NE(early.outcome, request_outcome::kNotRun) << early.code;
-  world_.RunFor(seconds{5});
-  const call_result late = world_.Ask("zone2-1", action);
+  deployment_.RunFor(seconds{5});
+  const call_result late = deployment_.SendAndWait("zone2-1", action);
   EXPECT_NE(late.outcome, request_outcome::kNotRun) << late.code;
-  EXPECT_EQ(world_.Runs(action), 1);
-  EXPECT_EQ(world_.Violations(), "");
+  EXPECT_EQ(deployment_.RunCount(action), 1);
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// The steward's machine stands still until another host has taken its range.
-// Sends that reached it meanwhile must not start when it comes back: their
-// callers were answered long ago and may have gone elsewhere.
-TEST_P(ActionProofTest, PausedStewardStartsNothingWhenItComesBack) {
-  const call_options through_other = world_.NewAction();
-  const std::string steward = world_.StewardFor(through_other);
-  call_options direct = world_.NewAction();
-  while (world_.RangeOf(direct) != world_.RangeOf(through_other)) {
-    direct = world_.NewAction();
+// The steward is paused until another host has taken over its range. Requests
+// that reached it during the pause must not start when it resumes: their
+// callers already have a reply and may have had the action done by other means.
+TEST_P(ActionProofTest, PausedStewardStartsNothingAfterResuming) {
+  const call_options forwarded_action = deployment_.NewAction();
+  const std::string steward = deployment_.StewardFor(forwarded_action);
+  call_options direct_action = deployment_.NewAction();
+  while (deployment_.RangeOf(direct_action) !=
+         deployment_.RangeOf(forwarded_action)) {
+    direct_action = deployment_.NewAction();
   }
-  const std::string host = world_.OtherHost(through_other);
-  world_.PauseHost(steward, seconds{8});
-  const uint64_t forwarded = world_.Send(host, through_other);
-  const uint64_t late = world_.Send(steward, direct);
-  world_.RunFor(seconds{6});
-  ASSERT_NE(world_.StewardFor(direct), "");
-  EXPECT_EQ(world_.Result(forwarded).outcome, request_outcome::kUnknown);
-  world_.RunFor(seconds{6});
-  EXPECT_GE(world_.Result(late).answered_us, 0);
-  EXPECT_FALSE(world_.Result(late).Done());
-  EXPECT_EQ(world_.Runs(through_other), 0);
-  EXPECT_EQ(world_.Runs(direct), 0);
-  EXPECT_EQ(world_.Violations(), "");
+  const std::string host = deployment_.OtherHost(forwarded_action);
+  deployment_.PauseHost(steward, seconds{8});
+  const uint64_t forwarded = deployment_.Send(host, forwarded_action);
+  const uint64_t late = deployment_.Send(steward, direct_action);
+  deployment_.RunFor(seconds{6});
+  ASSERT_NE(deployment_.StewardFor(direct_action), "");
+  EXPECT_EQ(deployment_.Result(forwarded).outcome, request_outcome::kUnknown);
+  deployment_.RunFor(seconds{6});
+  EXPECT_GE(deployment_.Result(late).answered_us, 0);
+  EXPECT_FALSE(deployment_.Result(late).Done());
+  EXPECT_EQ(deployment_.RunCount(forwarded_action), 0);
+  EXPECT_EQ(deployment_.RunCount(direct_action), 0);
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// The platform is away for minutes. Nothing that users do with actions needs
-// it: identifiers are handed out, run and remembered as before.
-TEST_P(ActionProofTest, ActionsGoOnWithoutThePlatform) {
-  const call_options before = world_.NewAction();
-  ASSERT_TRUE(world_.Ask("zone1-1", before).Done());
-  world_.Platform().down = true;
-  world_.RunFor(seconds{60});
-  const call_result again = world_.Ask("zone2-1", before);
-  EXPECT_TRUE(again.Done()) << again.code;
-  const call_options during = world_.NewAction();
-  const call_result fresh = world_.Ask("zone2-3", during);
+// The platform is down for a minute. Actions don't depend on it: identifiers
+// are minted, run and remembered as before.
+TEST_P(ActionProofTest, ActionsWorkWhilePlatformIsDown) {
+  const call_options before = deployment_.NewAction();
+  ASSERT_TRUE(deployment_.SendAndWait("zone1-1", before).Done());
+  deployment_.Platform().down = true;
+  deployment_.RunFor(seconds{60});
+  const call_result retry = deployment_.SendAndWait("zone2-1", before);
+  EXPECT_TRUE(retry.Done()) << retry.code;
+  const call_options during = deployment_.NewAction();
+  const call_result fresh = deployment_.SendAndWait("zone2-3", during);
   EXPECT_TRUE(fresh.Done()) << fresh.code;
-  EXPECT_EQ(world_.Runs(before), 1);
-  EXPECT_EQ(world_.Runs(during), 1);
-  EXPECT_EQ(world_.Violations(), "");
+  EXPECT_EQ(deployment_.RunCount(before), 1);
+  EXPECT_EQ(deployment_.RunCount(during), 1);
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// The answer is lost between steward and entry host: the line breaks while
-// the target works. Through any host with a line the run is found.
-TEST_P(ActionProofTest, ActionWhoseAnswerWasLostIsFoundByAResend) {
-  const call_options action = world_.NewAction(kLongWork);
-  const std::string host = world_.OtherHost(action);
-  const uint64_t first = world_.Send(host, action);
-  world_.RunFor(kInTheMiddle);
-  ASSERT_NE(world_.RunsAt(action), "");
-  world_.CutHost(host, true);
-  const call_result again = world_.Ask(world_.OtherHost(action, host), action);
-  EXPECT_TRUE(again.Done()) << again.code;
-  world_.CutHost(host, false);
-  world_.RunFor(seconds{3});
-  EXPECT_NE(world_.Result(first).outcome, request_outcome::kNotRun);
-  const call_result last = world_.Ask(host, action);
+// The answer is lost because the entry host loses its connections while the
+// target works. A retry through any connected host gets the answer of the run.
+TEST_P(ActionProofTest, RetryAfterLostAnswerGetsAnswerOfTheRun) {
+  const call_options action = deployment_.NewAction(kLongWorkTime);
+  const std::string host = deployment_.OtherHost(action);
+  const uint64_t first = deployment_.Send(host, action);
+  deployment_.RunFor(kMidRunDelay);
+  ASSERT_NE(deployment_.RunningTarget(action), "");
+  deployment_.CutHost(host, true);
+  const call_result retry =
+      deployment_.SendAndWait(deployment_.OtherHost(action, host), action);
+  EXPECT_TRUE(retry.Done()) << retry.code;
+  deployment_.CutHost(host, false);
+  deployment_.RunFor(seconds{3});
+  EXPECT_NE(deployment_.Result(first).outcome, request_outcome::kNotRun);
+  const call_result last = deployment_.SendAndWait(host, action);
   EXPECT_TRUE(last.Done()) << last.code;
-  EXPECT_EQ(world_.Runs(action), 1);
-  EXPECT_EQ(world_.Violations(), "");
+  EXPECT_EQ(deployment_.RunCount(action), 1);
+  EXPECT_EQ(deployment_.Violations(), "");
 }
 
-// A report's content crashes every target that begins it, and its sender tries
-// again through each entry host. Without a stop it takes the whole service
-// down, for all organisations.
-TEST_P(ActionProofTest, CrashingContentIsStoppedAfterTwoTargets) {
+// The content of a request crashes every target that starts it, and its sender
+// retries through every entry host. If the request weren't blocked, it would
+// take the whole service down, for all organisations.
+TEST_P(ActionProofTest, CrashingContentIsRefusedAfterTwoTargets) {
   target_faults faults;
   faults.poison = "crash me";
   for (const std::string& target : SigningTargets()) {
-    world_.SetTargetFaults(target, faults);
+    deployment_.SetTargetFaults(target, faults);
   }
-  int refused_at_once = 0;
-  for (const std::string& host : world_.HostNames()) {
-    call_options poison = world_.NewAction();
+  int immediate_refusals = 0;
+  for (const std::string& host : deployment_.HostNames()) {
+    call_options poison = deployment_.NewAction();
     poison.body = "crash me";
-    const int64_t sent = world_.now_us();
-    const call_result answer = world_.Ask(host, poison);
+    const int64_t sent = deployment_.now_us();
+    const call_result answer = deployment_.SendAndWait(host, poison);
     ASSERT_GE(answer.answered_us, 0);
     EXPECT_FALSE(answer.Done());
-    const bool at_once = answer.answered_us - sent < 20'000;
-    refused_at_once += answer.status == 422 && at_once ? 1 : 0;
-    // The crashed target has come back without its fault.
+    const bool is_immediate = answer.answered_us - sent < 20'000;
+    immediate_refusals += answer.status == 422 && is_immediate ? 1 : 0;
+    // A target that crashed has restarted without the injected fault.
     for (const std::string& target : SigningTargets()) {
-      world_.SetTargetFaults(target, faults);
+      deployment_.SetTargetFaults(target, faults);
     }
   }
-  EXPECT_EQ(refused_at_once, 4);
-  EXPECT_TRUE(world_.Ask("zone1-1", world_.NewAction()).Done());
+  EXPECT_EQ(immediate_refusals, 4);
+  EXPECT_TRUE(
+      deployment_.SendAndWait("zone1-1", deployment_.NewAction()).Done());
 }
 
 struct schedule_counts {
@@ -372,78 +380,79 @@
   size_t done = 0;
 };
 
-void RunAnyFault(action_world& world, std::mt19937_64& random, bool hosts_too) {
-  const std::vector<std::string> hosts = world.HostNames();
+void InjectRandomFault(action_deployment& deployment, std::mt19937_64& random,
+                       bool include_host_faults) {
+  const std::vector<std::string> hosts = deployment.HostNames();
   const std::string& host = hosts[random() % hosts.size()];
   const std::string target = SigningTargets()[random() % 4];
   target_faults freeze;
   freeze.freeze_ms = static_cast<int64_t>(random() % 3000);
-  switch (random() % (hosts_too ? 11 : 4)) {
+  switch (random() % (include_host_faults ? 11 : 4)) {
     case 0:
-      return world.KillTarget(target);
+      return deployment.KillTarget(target);
     case 1:
     case 2:
-      return world.StartTarget(target);
+      return deployment.StartTarget(target);
     case 3:
-      return world.SetTargetFaults(target, freeze);
+      return deployment.SetTargetFaults(target, freeze);
     case 4:
-      return world.CutHostFromTarget(host, target, random() % 2 == 0);
+      return deployment.CutHostFromTarget(host, target, random() % 2 == 0);
     case 5:
-      return world.KillHost(host);
+      return deployment.KillHost(host);
     case 6:
-      return world.PauseHost(host, milliseconds{random() % 3000});
+      return deployment.PauseHost(host, milliseconds{random() % 3000});
     case 7:
-      return world.CutHost(host, true);
+      return deployment.CutHost(host, true);
     case 8:
-      return world.CutHost(host, false);
+      return deployment.CutHost(host, false);
     default:
-      if (!world.HostRuns(host)) {
-        world.StartHost(host);
+      if (!deployment.HostRuns(host)) {
+        deployment.StartHost(host);
       }
   }
 }
 
-/// Sends and resends reports through any host while faults come and go.
-/// Returns what was broken.
-std::string RunSchedule(uint64_t seed, bool hosts_too,
+/// Sends and retries actions through random hosts while random faults start and
+/// end. Returns the violations, one per line.
+std::string RunSchedule(uint64_t seed, bool include_host_faults,
                         schedule_counts& counts) {
-  action_world world(seed);
+  action_deployment deployment(seed);
   std::mt19937_64 random(seed);
-  const std::vector<std::string> hosts = world.HostNames();
+  const std::vector<std::string> hosts = deployment.HostNames();
   std::vector<call_options> actions;
   actions.reserve(40);
   for (int i = 0; i < 40; ++i) {
-    actions.push_back(world.NewAction(milliseconds{random() % 150}));
+    actions.push_back(deployment.NewAction(milliseconds{random() % 150}));
   }
   for (int step = 0; step < 150; ++step) {
     if (random() % 24 < 7) {
-      RunAnyFault(world, random, hosts_too);
+      InjectRandomFault(deployment, random, include_host_faults);
     } else {
-      world.Send(hosts[random() % hosts.size()],
-                 actions[random() % actions.size()]);
+      deployment.Send(hosts[random() % hosts.size()],
+                      actions[random() % actions.size()]);
     }
-    world.RunFor(milliseconds{random() % 60});
+    deployment.RunFor(milliseconds{random() % 60});
   }
-  world.RunFor(seconds{3});
-  for (const auto& [id, call] : world.calls()) {
+  deployment.RunFor(seconds{3});
+  for (const auto& [id, call] : deployment.calls()) {
     counts.answered += call.answered_us >= 0 && !call.connection_lost ? 1 : 0;
     counts.done += call.Done() && !call.connection_lost ? 1 : 0;
   }
-  return world.Violations();
+  return deployment.Violations();
 }
 
-// All faults at once, in any order: hosts and targets die, stand still, are cut
-// off and come back while reports are sent and sent again through any host.
-// Two signatures under one report are the worst that users could see.
+// Hosts and targets fail, freeze, are disconnected and recover in random order
+// while actions are sent and retried through random hosts. No action may run
+// twice.
 //
-// What is not held against the run: an entry host that reaches no steward says
-// unknown, the steward hears of that never, and may later say not-run, which
-// is true. docs/design/actions.md says when.
+// One violation is allowed: an entry host that reaches no steward replies
+// unknown without the steward's knowledge, and the steward may later reply
+// not-run, which is correct. See docs/design/actions.md for the cases.
 TEST(ActionScheduleTest, RandomFaultsNeverRunAnActionTwice) {
   schedule_counts counts;
-  for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const std::string broken = RunSchedule(seed, true, counts);
-    std::istringstream lines(broken);
+  for (uint64_t seed = 1; seed <= kSeedCount; ++seed) {
+    const std::string violations = RunSchedule(seed, true, counts);
+    std::istringstream lines(violations);
     for (std::string line; std::getline(lines, line);) {
       EXPECT_NE(line.find("not-run after unknown"), std::string::npos)
           << "seed " << seed << ": " << line;
@@ -454,34 +463,34 @@
   EXPECT_GT(counts.done, counts.answered / 4);
 }
 
-// Only targets fail here, so that each answer is the steward's. Then no resend
-// of an action may ever read not-run after one unknown.
-TEST(ActionScheduleTest, RandomTargetFaultsBreakNothing) {
+// Only targets fail here, so that every reply comes from the steward. No retry
+// of an action may then get not-run after unknown.
+TEST(ActionScheduleTest, RandomTargetFaultsCauseNoViolation) {
   schedule_counts counts;
-  for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
+  for (uint64_t seed = 1; seed <= kSeedCount; ++seed) {
     EXPECT_EQ(RunSchedule(seed, false, counts), "") << "seed " << seed;
   }
   EXPECT_GT(counts.done, counts.answered / 4);
 }
 
-// A checker that finds nothing proves nothing: a run that no entry host
-// ordered must be reported.
-TEST(ActionCheckerTest, PlantedSecondRunIsFound) {
-  action_world world(1);
-  const call_options action = world.NewAction();
-  ASSERT_TRUE(world.Ask("zone1-1", action).Done());
-  ASSERT_EQ(world.Violations(), "");
+// Shows that the checker detects violations: it must report a run that no entry
+// host requested.
+TEST(ActionCheckerTest, InjectedSecondRunIsReported) {
+  action_deployment deployment(1);
+  const call_options action = deployment.NewAction();
+  ASSERT_TRUE(deployment.SendAndWait("zone1-1", action).Done());
+  ASSERT_EQ(deployment.Violations(), "");
   target_request second;
   second.attempt = "planted/1";
   second.key = "report";
-  second.range = world.RangeOf(action);
+  second.range = deployment.RangeOf(action);
   second.epoch = 1'000;
   second.deadline = seconds{1};
   second.body = action.body;
   const std::string zone(ParseRangeName(second.range).value().zone);
-  world.Target("signing-" + zone + "-1")
+  deployment.Target("signing-" + zone + "-1")
       .Submit(second, time_point{seconds{1'000'000}});
-  EXPECT_NE(world.Violations().find("ran 2 times"), std::string::npos);
+  EXPECT_NE(deployment.Violations().find("ran 2 times"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/action_table_test.cc
+++ b/tests/action_table_test.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::seconds;
 
-constexpr duration kWindow = seconds(10);
+constexpr duration kResendWindow = seconds(10);
 constexpr duration kRetention = seconds(20);
 
 action_limits SmallLimits() {
@@ -22,7 +22,7 @@
   limits.max_answer_size = 8;
   limits.max_answer_bytes = 20;
   limits.retention = kRetention;
-  limits.resend_window = kWindow;
+  limits.resend_window = kResendWindow;
   limits.max_logged_sequences = 64;
   return limits;
 }
@@ -52,11 +52,12 @@
                        uint64_t content = 7) {
     return table_.Begin(now_, {id, "vlahovic", content, waiter});
   }
-  std::vector<uint64_t> End(const action_id& id, action_outcome outcome,
-                            const answer_ptr& answer = nullptr) {
+  std::vector<uint64_t> RecordEnd(const action_id& id, action_outcome outcome,
+                                  const answer_ptr& answer = nullptr) {
     return table_.Ended(now_, "vlahovic", id.text, outcome, answer);
   }
-  action_table::not_run_report NotRun(const action_id& id, uint32_t attempt) {
+  action_table::not_run_report RecordNotRun(const action_id& id,
+                                            uint32_t attempt) {
     return table_.NotRun(now_, "vlahovic", id.text, attempt);
   }
 
@@ -65,13 +66,13 @@
   const action_id id_ = Minted(kEpoch, 3);
 };
 
-// A clerk's browser loses its connection while a report is being signed and
-// sends the same request again, perhaps through another entry host. The clerk
-// must get the one report, not a second signature.
-TEST_F(ActionTableTest, ResendWhileRunningWaitsForTheFirst) {
+// A caller loses its connection while its action runs and sends the request
+// again, perhaps through another entry host. It must get the answer of the
+// first run; the action must not run a second time.
+TEST_F(ActionTableTest, RetryWhileRunningWaitsForFirstRun) {
   ASSERT_EQ(Send(id_, 1).step, action_step::kRun);
   EXPECT_EQ(Send(id_, 2).step, action_step::kAttach);
-  EXPECT_EQ(End(id_, action_outcome::kDone, MakeAnswer("signed")),
+  EXPECT_EQ(RecordEnd(id_, action_outcome::kDone, MakeAnswer("signed")),
             (std::vector<uint64_t>{1, 2}));
   const action_decision again = Send(id_, 3);
   EXPECT_EQ(again.step, action_step::kAnswer);
@@ -79,26 +80,26 @@
   EXPECT_EQ(again.answer->body, "signed");
 }
 
-// The entry host that was steward is lost with its memory. Whether an order it
-// had handed out was cut cannot be known any more, so the shop must be told
-// just that; "not run" would have it cut, and paid for, twice.
-TEST_F(ActionTableTest, IdentifierOfAnEarlierTenureIsUnknown) {
+// The steward fails, and its table is lost. Whether an action that it had
+// dispatched ran can no longer be determined, so the caller must get "unknown".
+// After "not run" the caller would repeat the action, and it could run twice.
+TEST_F(ActionTableTest, IdentifierOfEarlierTenureIsUnknown) {
   const action_decision decision = Send(Minted(kEpoch - 1, 3));
   EXPECT_EQ(decision.step, action_step::kAnswer);
   EXPECT_EQ(decision.outcome, action_outcome::kUnknown);
 }
 
-TEST_F(ActionTableTest, IdentifierOfALaterTenureIsRefused) {
+TEST_F(ActionTableTest, IdentifierOfLaterTenureIsRefused) {
   const action_decision decision = Send(Minted(kEpoch + 1, 3));
   EXPECT_EQ(decision.refusal, action_refusal::kNotSteward);
   EXPECT_EQ(decision.outcome, action_outcome::kUnknown);
 }
 
-TEST_F(ActionTableTest, SequenceThatWasNeverReservedIsUnknown) {
+TEST_F(ActionTableTest, UnreservedSequenceIsUnknown) {
   EXPECT_EQ(Send(Minted(kEpoch, 5000)).outcome, action_outcome::kUnknown);
 }
 
-TEST_F(ActionTableTest, NewTenureNamesThoseWhoStillWait) {
+TEST_F(ActionTableTest, NewTenureReturnsRemainingWaiters) {
   Send(id_, 1);
   Send(id_, 2);
   EXPECT_EQ(table_.ResetTenure({"crews@trnje", kEpoch + 1, now_}),
@@ -106,92 +107,92 @@
   EXPECT_EQ(Send(id_).outcome, action_outcome::kUnknown);
 }
 
-TEST_F(ActionTableTest, OtherContentUnderTheSameIdentifierIsRefused) {
+TEST_F(ActionTableTest, DifferentContentUnderSameIdentifierIsRefused) {
   Send(id_, 1, 7);
   const action_decision decision = Send(id_, 2, 8);
   EXPECT_EQ(decision.step, action_step::kRefuse);
   EXPECT_EQ(decision.refusal, action_refusal::kOtherContent);
 }
 
-// Two shops number their orders alike. Each must get its own order run and its
-// own answer, and neither may notice that the other used the number too.
-TEST_F(ActionTableTest, SameCallerMadeIdentifierOfTwoOrganisationsIsApart) {
-  now_ += kWindow;
+// Two organisations choose the same identifier. Both actions must run, and
+// neither organisation may notice that the other used the identifier too.
+TEST_F(ActionTableTest, SameCallerMadeIdentifierOfTwoOrganisationsRunsForBoth) {
+  now_ += kResendWindow;
   const action_id id{"order-0001", std::nullopt};
   EXPECT_EQ(table_.Begin(now_, {id, "shop-a", 1, 1}).step, action_step::kRun);
   EXPECT_EQ(table_.Begin(now_, {id, "shop-b", 2, 2}).step, action_step::kRun);
 }
 
-TEST_F(ActionTableTest, ProvedNotRunMayRunAgain) {
+TEST_F(ActionTableTest, ActionProvedNotRunMayRunAgain) {
   const action_decision first = Send(id_, 1);
-  const action_table::not_run_report report = NotRun(id_, first.attempt);
+  const action_table::not_run_report report = RecordNotRun(id_, first.attempt);
   EXPECT_EQ(report.outcome, action_outcome::kNotRun);
   EXPECT_EQ(report.waiters, std::vector<uint64_t>{1});
   EXPECT_EQ(Send(id_, 2).step, action_step::kRun);
 }
 
-// A target's refusal is delivered twice by a repeated call. The second copy
-// arrives when the next attempt is already running; taken for that one, it
-// would let a third attempt run beside it.
-TEST_F(ActionTableTest, ProofAboutAFormerAttemptIsIgnored) {
+// A target's refusal is delivered twice because the call was repeated. The
+// second copy arrives while the next attempt is already running. If it were
+// applied to that attempt, a third one could run concurrently.
+TEST_F(ActionTableTest, ProofAboutEarlierAttemptIsIgnored) {
   const action_decision first = Send(id_, 1);
-  NotRun(id_, first.attempt);
+  RecordNotRun(id_, first.attempt);
   Send(id_, 2);
-  EXPECT_TRUE(NotRun(id_, first.attempt).waiters.empty());
+  EXPECT_TRUE(RecordNotRun(id_, first.attempt).waiters.empty());
   EXPECT_EQ(Send(id_, 3).step, action_step::kAttach);
 }
 
-TEST_F(ActionTableTest, LateAnswerAfterUnknownReadsDone) {
+TEST_F(ActionTableTest, LateAnswerAfterUnknownGivesDone) {
   Send(id_, 1);
-  End(id_, action_outcome::kUnknown);
+  RecordEnd(id_, action_outcome::kUnknown);
   EXPECT_EQ(Send(id_, 2).outcome, action_outcome::kUnknown);
-  End(id_, action_outcome::kDone, MakeAnswer("late"));
+  RecordEnd(id_, action_outcome::kDone, MakeAnswer("late"));
   EXPECT_EQ(Send(id_, 3).outcome, action_outcome::kDone);
 }
 
-// An office gives up at its deadline and is told that the outcome is unknown.
-// It turns to the target's owner, who books by hand. Were the next send
-// answered "not run", the office would book a second crew.
-TEST_F(ActionTableTest, UnknownAfterGivingUpNeverBecomesNotRun) {
+// A caller stops waiting at its deadline and gets "unknown". It may then settle
+// the action by other means. If a retry got "not run" later, the caller could
+// have the action done a second time.
+TEST_F(ActionTableTest, UnknownAfterCancelledWaitNeverBecomesNotRun) {
   const action_decision first = Send(id_, 1);
   table_.Started("vlahovic", id_.text, first.attempt);
   EXPECT_EQ(table_.GiveUp("vlahovic", id_.text, 1),
             give_up_step::kAnswerUnknown);
-  EXPECT_EQ(NotRun(id_, first.attempt).outcome, action_outcome::kUnknown);
+  EXPECT_EQ(RecordNotRun(id_, first.attempt).outcome, action_outcome::kUnknown);
   EXPECT_EQ(Send(id_, 2).outcome, action_outcome::kUnknown);
 }
 
-TEST_F(ActionTableTest, GivingUpAloneBeforeTheStartCancels) {
+TEST_F(ActionTableTest, CancelledWaitOfOnlyWaiterBeforeStartCancelsAction) {
   const action_decision first = Send(id_, 1);
   EXPECT_EQ(table_.GiveUp("vlahovic", id_.text, 1), give_up_step::kCancel);
-  EXPECT_EQ(NotRun(id_, first.attempt).outcome, action_outcome::kNotRun);
+  EXPECT_EQ(RecordNotRun(id_, first.attempt).outcome, action_outcome::kNotRun);
 }
 
-TEST_F(ActionTableTest, LargeAnswerIsDoneWithoutItsBody) {
+TEST_F(ActionTableTest, TooLargeAnswerIsDoneWithoutBody) {
   Send(id_, 1);
-  End(id_, action_outcome::kDone, MakeAnswer("larger than eight"));
+  RecordEnd(id_, action_outcome::kDone, MakeAnswer("larger than eight"));
   const action_decision again = Send(id_, 2);
   EXPECT_EQ(again.outcome, action_outcome::kDone);
   EXPECT_TRUE(again.answer->body_omitted);
   EXPECT_EQ(table_.answer_bytes(), 0U);
 }
 
-TEST_F(ActionTableTest, OldBodiesGoWhenAnswersExceedTheirBytes) {
+TEST_F(ActionTableTest, OldestBodiesAreDroppedWhenAnswersExceedByteLimit) {
   for (uint64_t i = 0; i < 3; ++i) {
     Send(Minted(kEpoch, i));
-    End(Minted(kEpoch, i), action_outcome::kDone, MakeAnswer("12345678"));
+    RecordEnd(Minted(kEpoch, i), action_outcome::kDone, MakeAnswer("12345678"));
   }
   EXPECT_EQ(table_.answer_bytes(), 16U);
   EXPECT_TRUE(Send(Minted(kEpoch, 0)).answer->body_omitted);
   EXPECT_EQ(Send(Minted(kEpoch, 2)).answer->body, "12345678");
 }
 
-// After the retention the entry is gone, but the identifier may still come. It
-// ran once, so it must not run again; one that a caller kept and never used is
-// told apart and runs.
-TEST_F(ActionTableTest, ExpiredIdentifierIsUnknownAndAnUnusedOneRuns) {
+// The entry is removed after the retention time, but a caller may still send
+// the identifier. Its action ran once and must not run again. An identifier
+// that a caller kept and never used must still run.
+TEST_F(ActionTableTest, ExpiredIdentifierIsUnknownAndUnusedOneRuns) {
   Send(id_, 1);
-  End(id_, action_outcome::kDone, MakeAnswer("x"));
+  RecordEnd(id_, action_outcome::kDone, MakeAnswer("x"));
   now_ += kRetention;
   table_.Expire(now_);
   EXPECT_EQ(table_.size(), 0U);
@@ -211,71 +212,73 @@
             action_step::kRun);
 }
 
-TEST_F(ActionTableTest, CallerMadeIdentifierIsUnknownToAYoungTenure) {
+TEST_F(ActionTableTest,
+       CallerMadeIdentifierIsUnknownWithinResendWindowOfNewTenure) {
   const action_id id{"order-0001", std::nullopt};
   EXPECT_EQ(Send(id).outcome, action_outcome::kUnknown);
-  now_ += kWindow - seconds(1);
+  now_ += kResendWindow - seconds(1);
   EXPECT_EQ(Send(id).outcome, action_outcome::kUnknown);
   now_ += seconds(2);
   EXPECT_EQ(Send(id).outcome, action_outcome::kUnknown);
   EXPECT_EQ(Send({"order-0002", std::nullopt}).step, action_step::kRun);
 }
 
-// A range's world for random schedules: one steward's table, what the targets
-// really did, and what callers were told. It knows the truth, the table does
-// not.
+// Simulates one range for random schedules: the table of its steward, the runs
+// at the targets and the outcomes that callers received. Unlike the table, it
+// knows which actions really ran.
 template <typename Rules>
-class schedule_world {
+class range_simulation {
  public:
-  schedule_world() { LoseSteward(); }
+  range_simulation() { FailSteward(); }
 
-  // Plays one step chosen by `choice`; returns the broken promise, if any.
-  std::string Play(uint64_t choice) {
-    const uint64_t pick = choice / kSteps;
-    switch (choice % kSteps) {
+  // Runs one step selected by `choice`. Returns the violated guarantee, or an
+  // empty string.
+  std::string RunStep(uint64_t choice) {
+    const uint64_t selector = choice / kStepKinds;
+    switch (choice % kStepKinds) {
       case 0:
       case 1:
       case 2:
-        Send(pick);
+        Send(selector);
         break;
       case 3:
       case 4:
-        StartAttempt(pick);
+        StartAttempt(selector);
         break;
       case 5:
-        FinishAttempt(pick);
+        FinishAttempt(selector);
         break;
       case 6:
-        LoseAnswer(pick);
+        LoseAnswer(selector);
         break;
       case 7:
-        RejectAttempt(pick);
+        RejectAttempt(selector);
         break;
       case 8:
-        GiveUp(pick);
+        CancelWait(selector);
         break;
       case 9:
-        now_ += seconds(pick % 8);
+        now_ += seconds(selector % 8);
         table_.Expire(now_);
         break;
       default:
-        if (pick % 4 == 0) {
-          LoseSteward();
+        if (selector % 4 == 0) {
+          FailSteward();
         }
     }
-    return broken_;
+    return violation_;
   }
 
  private:
-  static constexpr uint64_t kSteps = 11;
-  static constexpr uint64_t kIds = 8;
+  static constexpr uint64_t kStepKinds = 11;
+  static constexpr uint64_t kIdsPerTenure = 8;
 
   struct action {
     action_id id;
     time_point last_sent{};
     bool sent = false;
     int runs = 0;
-    bool unknown_said = false;
+    bool unknown_reported = false;
   };
   struct attempt {
     size_t action = 0;
@@ -284,12 +287,12 @@
     bool begun = false;
   };
 
-  void LoseSteward() {
+  void FailSteward() {
     ++epoch_;
     for (const uint64_t waiter : table_.ResetTenure({"r", epoch_, now_})) {
-      Told(waiters_[waiter], action_outcome::kUnknown);
+      RecordOutcome(waiters_[waiter], action_outcome::kUnknown);
     }
-    for (uint64_t i = 0; i < kIds; ++i) {
+    for (uint64_t i = 0; i < kIdsPerTenure; ++i) {
       const uint64_t sequence = table_.Reserve(1);
       actions_.push_back({{"m" + std::to_string(actions_.size()),
                            minted_action{"r", epoch_, sequence}}});
@@ -298,13 +301,13 @@
     }
   }
 
-  // Callers keep their part of the contract: one that made its identifier
-  // itself does not send it again when its last send is a window ago.
-  void Send(uint64_t pick) {
-    const size_t recent = std::min<size_t>(actions_.size(), 4 * kIds);
-    const size_t index = actions_.size() - 1 - pick % recent;
+  // Callers respect the contract: a caller-made identifier isn't sent again
+  // once its last request is a resend window ago.
+  void Send(uint64_t selector) {
+    const size_t recent = std::min<size_t>(actions_.size(), 4 * kIdsPerTenure);
+    const size_t index = actions_.size() - 1 - selector % recent;
     action& a = actions_[index];
-    if (!a.id.minted && a.sent && now_ >= a.last_sent + kWindow) {
+    if (!a.id.minted && a.sent && now_ >= a.last_sent + kResendWindow) {
       return;
     }
     a.sent = true;
@@ -315,55 +318,57 @@
     if (d.step == action_step::kRun) {
       attempts_.push_back({index, d.attempt, epoch_, false});
     } else if (d.step != action_step::kAttach) {
-      Told(index, d.outcome);
+      RecordOutcome(index, d.outcome);
     }
   }
 
-  attempt* PickAttempt(uint64_t pick) {
-    return attempts_.empty() ? nullptr : &attempts_[pick % attempts_.size()];
+  attempt* SelectAttempt(uint64_t selector) {
+    return attempts_.empty() ? nullptr
+                             : &attempts_[selector % attempts_.size()];
   }
 
-  // An attempt of a lost steward may begin as well: its request was under way.
-  void StartAttempt(uint64_t pick) {
-    attempt* t = PickAttempt(pick);
+  // An attempt of a failed steward may begin as well: its request may have been
+  // on the way to the target.
+  void StartAttempt(uint64_t selector) {
+    attempt* t = SelectAttempt(selector);
     if (t == nullptr || t->begun) {
       return;
     }
     t->begun = true;
     action& a = actions_[t->action];
     if (++a.runs > 1) {
-      broken_ = "second run of " + a.id.text;
+      violation_ = "second run of " + a.id.text;
     }
     if (t->epoch == epoch_) {
       table_.Started("o", a.id.text, t->number);
     }
   }
 
-  void FinishAttempt(uint64_t pick) {
-    attempt* t = PickAttempt(pick);
+  void FinishAttempt(uint64_t selector) {
+    attempt* t = SelectAttempt(selector);
     if (t == nullptr || !t->begun) {
       return;
     }
     if (t->epoch == epoch_) {
-      const answer_ptr answer = MakeAnswer(std::string(pick % 12, 'x'));
-      TellAll(table_.Ended(now_, "o", actions_[t->action].id.text,
-                           action_outcome::kDone, answer),
-              action_outcome::kDone);
+      const answer_ptr answer = MakeAnswer(std::string(selector % 12, 'x'));
+      RecordOutcomes(table_.Ended(now_, "o", actions_[t->action].id.text,
+                                  action_outcome::kDone, answer),
+                     action_outcome::kDone);
     }
     attempts_.erase(attempts_.begin() + (t - attempts_.data()));
   }
 
-  void LoseAnswer(uint64_t pick) {
-    attempt* t = PickAttempt(pick);
+  void LoseAnswer(uint64_t selector) {
+    attempt* t = SelectAttempt(selector);
     if (t != nullptr && t->epoch == epoch_) {
-      TellAll(table_.Ended(now_, "o", actions_[t->action].id.text,
-                           action_outcome::kUnknown, nullptr),
-              action_outcome::kUnknown);
+      RecordOutcomes(table_.Ended(now_, "o", actions_[t->action].id.text,
+                                  action_outcome::kUnknown, nullptr),
+                     action_outcome::kUnknown);
     }
   }
 
-  void RejectAttempt(uint64_t pick) {
-    attempt* t = PickAttempt(pick);
+  void RejectAttempt(uint64_t selector) {
+    attempt* t = SelectAttempt(selector);
     if (t == nullptr || t->begun) {
       return;
     }
@@ -372,34 +377,35 @@
     if (rejected.epoch == epoch_) {
       const auto report = table_.NotRun(
           now_, "o", actions_[rejected.action].id.text, rejected.number);
-      TellAll(report.waiters, report.outcome);
+      RecordOutcomes(report.waiters, report.outcome);
     }
   }
 
-  void GiveUp(uint64_t pick) {
+  void CancelWait(uint64_t selector) {
     if (waiters_.empty()) {
       return;
     }
-    const uint64_t waiter = waiters_.size() - 1 - pick % waiters_.size();
+    const uint64_t waiter = waiters_.size() - 1 - selector % waiters_.size();
     const size_t index = waiters_[waiter];
     const give_up_step step =
         table_.GiveUp("o", actions_[index].id.text, waiter);
     if (step == give_up_step::kAnswerUnknown) {
-      Told(index, action_outcome::kUnknown);
+      RecordOutcome(index, action_outcome::kUnknown);
     }
   }
 
-  void TellAll(const std::vector<uint64_t>& waiters, action_outcome outcome) {
+  void RecordOutcomes(const std::vector<uint64_t>& waiters,
+                      action_outcome outcome) {
     for (const uint64_t waiter : waiters) {
-      Told(waiters_[waiter], outcome);
+      RecordOutcome(waiters_[waiter], outcome);
     }
   }
 
-  void Told(size_t index, action_outcome outcome) {
+  void RecordOutcome(size_t index, action_outcome outcome) {
     action& a = actions_[index];
-    a.unknown_said |= outcome == action_outcome::kUnknown;
+    a.unknown_reported |= outcome == action_outcome::kUnknown;
     if (outcome == action_outcome::kDone && a.runs == 0) {
-      broken_ = "done said of " + a.id.text + ", which never ran";
+      violation_ = "done reported of " + a.id.text + ", which never ran";
     }
     if (outcome != action_outcome::kNotRun) {
       return;
@@ -407,9 +413,9 @@
     const bool may_start = std::ranges::any_of(
         attempts_, [index](const attempt& t) { return t.action == index; });
     if (a.runs > 0 || may_start) {
-      broken_ = "false not-run of " + a.id.text;
-    } else if (a.unknown_said) {
-      broken_ = "not-run after unknown of " + a.id.text;
+      violation_ = "false not-run of " + a.id.text;
+    } else if (a.unknown_reported) {
+      violation_ = "not-run after unknown of " + a.id.text;
     }
   }
 
@@ -417,18 +423,18 @@
   uint64_t epoch_ = 0;
   basic_action_table<Rules> table_{SmallLimits()};
   std::vector<action> actions_;
-  std::vector<size_t> waiters_;  // the action that each waiter sent
+  std::vector<size_t> waiters_;  // index into actions_, by waiter
   std::vector<attempt> attempts_;
-  std::string broken_;
+  std::string violation_;
 };
 
 template <typename Rules>
-std::string PlaySchedule(const std::vector<uint64_t>& choices) {
-  schedule_world<Rules> world;
+std::string RunSchedule(const std::vector<uint64_t>& choices) {
+  range_simulation<Rules> simulation;
   for (const uint64_t choice : choices) {
-    std::string broken = world.Play(choice);
-    if (!broken.empty()) {
-      return broken;
+    std::string violation = simulation.RunStep(choice);
+    if (!violation.empty()) {
+      return violation;
     }
   }
   return "";
@@ -436,21 +442,21 @@
 
 constexpr int kSchedulesPerCase = 30;
 
-// Stewards are lost, answers come late or never, callers resend and give up, in
-// any order. Whatever the order, no action runs twice, nobody reads "not run"
-// of one that ran, and nobody reads "not run" after "unknown".
-RC_GTEST_PROP(ActionTableScheduleTest, AnyScheduleKeepsEveryPromise, ()) {
+// Stewards fail, answers are late or lost, and callers retry and stop waiting,
+// in random order. In every order, no action runs twice, and no caller gets
+// "not run" for an action that ran or after "unknown".
+RC_GTEST_PROP(ActionTableScheduleTest, RandomScheduleViolatesNoGuarantee, ()) {
   for (int i = 0; i < kSchedulesPerCase; ++i) {
     const auto choices =
         *rc::gen::resize(300, rc::gen::container<std::vector<uint64_t>>(
                                   rc::gen::inRange<uint64_t>(0, 1'000'000)));
-    RC_ASSERT(PlaySchedule<at_most_once_rules>(choices) == "");
+    RC_ASSERT(RunSchedule<at_most_once_rules>(choices) == "");
   }
 }
 
-// The kinds of broken promise that 500 schedules of random steps bring about.
+// Returns the kinds of violation that occur in 500 random schedules.
 template <typename Rules>
-std::set<std::string> BrokenPromises() {
+std::set<std::string> FindViolations() {
   std::mt19937_64 random(7);
   std::set<std::string> kinds;
   for (int i = 0; i < 500; ++i) {
@@ -458,54 +464,60 @@
     for (uint64_t& choice : choices) {
       choice = random() % 1'000'000;
     }
-    const std::string broken = PlaySchedule<Rules>(choices);
-    kinds.insert(broken.substr(0, broken.find(" of ")));
+    const std::string violation = RunSchedule<Rules>(choices);
+    kinds.insert(violation.substr(0, violation.find(" of ")));
   }
   return kinds;
 }
 
-struct old_epochs_are_new : at_most_once_rules {
+struct earlier_epochs_count_as_new : at_most_once_rules {
   static unseen_action JudgeUnseen(const action_id& id,
-                                   const table_memory& memory, time_point now) {
-    const bool old = id.minted && id.minted->epoch < memory.tenure.epoch;
-    return old ? unseen_action::kNeverBegun
-               : at_most_once_rules::JudgeUnseen(id, memory, now);
+                                   const table_memory& context,
+                                   time_point now) {
+    const bool minted_earlier =
+        id.minted && id.minted->epoch < context.tenure.epoch;
+    return minted_earlier ? unseen_action::kNeverBegun
+                          : at_most_once_rules::JudgeUnseen(id, context, now);
   }
 };
 
-struct young_tenures_trust_callers : at_most_once_rules {
+struct new_tenures_run_caller_made_ids : at_most_once_rules {
   static unseen_action JudgeUnseen(const action_id& id,
-                                   const table_memory& memory, time_point now) {
-    return id.minted ? at_most_once_rules::JudgeUnseen(id, memory, now)
+                                   const table_memory& context,
+                                   time_point now) {
+    return id.minted ? at_most_once_rules::JudgeUnseen(id, context, now)
                      : unseen_action::kNeverBegun;
   }
 };
 
-struct forgotten_entries_are_new : at_most_once_rules {
+struct removed_entries_count_as_new : at_most_once_rules {
   static unseen_action JudgeUnseen(const action_id& id,
-                                   const table_memory& memory, time_point now) {
-    const bool ours = id.minted && id.minted->epoch == memory.tenure.epoch;
-    return ours ? unseen_action::kNeverBegun
-                : at_most_once_rules::JudgeUnseen(id, memory, now);
+                                   const table_memory& context,
+                                   time_point now) {
+    const bool minted_in_tenure =
+        id.minted && id.minted->epoch == context.tenure.epoch;
+    return minted_in_tenure ? unseen_action::kNeverBegun
+                            : at_most_once_rules::JudgeUnseen(id, context, now);
   }
 };
 
-struct unknown_is_forgotten : at_most_once_rules {
+struct not_run_after_unknown : at_most_once_rules {
   static action_outcome JudgeNotRun(bool) { return action_outcome::kNotRun; }
 };
 
-TEST(ActionTableScheduleTest, CheckerCatchesBrokenRules) {
-  EXPECT_TRUE(BrokenPromises<old_epochs_are_new>().contains("second run"));
+TEST(ActionTableScheduleTest, CheckerDetectsBrokenRules) {
   EXPECT_TRUE(
-      BrokenPromises<young_tenures_trust_callers>().contains("second run"));
+      FindViolations<earlier_epochs_count_as_new>().contains("second run"));
   EXPECT_TRUE(
-      BrokenPromises<forgotten_entries_are_new>().contains("second run"));
+      FindViolations<new_tenures_run_caller_made_ids>().contains("second run"));
   EXPECT_TRUE(
-      BrokenPromises<unknown_is_forgotten>().contains("not-run after unknown"));
+      FindViolations<removed_entries_count_as_new>().contains("second run"));
+  EXPECT_TRUE(FindViolations<not_run_after_unknown>().contains(
+      "not-run after unknown"));
 }
 
-TEST(ActionTableScheduleTest, CheckerPassesTheStandardRules) {
-  EXPECT_EQ(BrokenPromises<at_most_once_rules>(), std::set<std::string>{""});
+TEST(ActionTableScheduleTest, CheckerFindsNoViolationWithStandardRules) {
+  EXPECT_EQ(FindViolations<at_most_once_rules>(), std::set<std::string>{""});
 }
 
 }  // namespace
