--- a/src/core/action_id.cc
+++ b/src/core/action_id.cc
@@ -147,8 +147,8 @@
 
 error NotMintedForCallerError() {
   return {error_code::kForbidden, "Foxtail-Action",
-          "the action identifier was not minted for your organisation",
-          "request one with POST /v1/actions"};
+          "this identifier was not minted for your organisation",
+          "take one from POST /v1/actions"};
 }
 
 result<action_id> ParseMinted(std::string_view text,
@@ -179,8 +179,7 @@
   }
   if (origin.range.empty() || origin.range.size() > kMaxActionRangeLength) {
     return error{error_code::kTooLarge, "range",
-                 "range name '" + origin.range +
-                     "' does not fit into an action identifier",
+                 "the name '" + origin.range + "' does not fit an identifier",
                  "use 1 to " + std::to_string(kMaxActionRangeLength) +
                      " characters for service and zone together"};
   }
@@ -204,8 +203,8 @@
                                 text.size() <= kMaxCallerActionLength;
   if (!has_valid_length || !std::ranges::all_of(text, IsCallerIdCharacter)) {
     return error{error_code::kMalformed, "Foxtail-Action",
-                 "the value is not a valid action identifier",
-                 "request one with POST /v1/actions, or choose one of 8 to 64 "
+                 "this is not an action identifier",
+                 "take one from POST /v1/actions, or make one of 8 to 64 "
                  "letters, digits, '.', '_' or '-'"};
   }
   return action_id{std::string(text), std::nullopt};
--- a/src/core/request_front.cc
+++ b/src/core/request_front.cc
@@ -110,7 +110,7 @@
     Refuse(request.request_id,
            {error_code::kUnavailable, "",
             "this host has no current configuration yet",
-            "retry after the stated time or use another host"},
+            "come back after the stated time or use another host"},
            kRetryAfter, out,
            request.action.empty() ? request_outcome::kNotRun
                                   : request_outcome::kUnknown);
@@ -181,7 +181,7 @@
     Refuse(request.request_id,
            {error_code::kUnavailable, "",
             "this host has no current configuration yet",
-            "retry after the stated time or use another host"},
+            "come back after the stated time or use another host"},
            kRetryAfter, out);
     return;
   }
@@ -575,9 +575,9 @@
       unknown ? request_outcome::kUnknown : request_outcome::kNotRun;
   answer.status = 503;
   answer.code = "no-steward";
-  answer.reason = "the steward of this key's range cannot be reached";
-  answer.remedy = unknown ? "send it again later with the same identifier"
-                          : "retry after the stated time";
+  answer.reason = "the host in charge of this key cannot be reached";
+  answer.remedy = unknown ? "send it again with the same identifier later"
+                          : "come back after the stated time";
   answer.retry_after_us = kRetryAfter.count();
   Answer(request, std::move(answer), now, out);
 }
