--- a/include/foxtailspread/range_steward.h
+++ b/include/foxtailspread/range_steward.h
@@ -4,6 +4,8 @@
 /// @file
 /// The steward's work for one range while it has authority: it dispatches
 /// requests, records at-most-once actions and assigns buckets to targets.
+///
+/// A *tenure* is the time during which one host is the range's steward.
 
 #include <cstdint>
 #include <functional>
@@ -205,7 +207,7 @@
   std::vector<bool> draining_;          ///< By index into targets_.
   std::vector<int> owner_index_;  ///< From targets_ index to owners_ index.
   std::vector<bool> answering_;  ///< By index into targets_, at the last check.
-  std::vector<int> homed_;       ///< Buckets homed in this range.
+  std::vector<int> homed_;       ///< Buckets whose home is this range.
   std::unordered_map<std::string, int> organisations_;
 
   uint64_t epoch_ = 0;
--- a/tests/authority_schedule.h
+++ b/tests/authority_schedule.h
@@ -23,7 +23,7 @@
 enum class protocol_fault {
   kNone,
   kCountFromReceipt,   ///< A promise counts from the answer's arrival.
-  kForgetOnRestart,    ///< A restarted host loses its promises, not its life.
+  kForgetOnRestart,    ///< A restart drops promises but keeps the life number.
   kSkipJointMajority,  ///< Roster changes need no majority of the old one.
 };
 
