--- a/include/foxtailspread/entry_host.h
+++ b/include/foxtailspread/entry_host.h
@@ -2,8 +2,9 @@
 #define FOXTAILSPREAD_ENTRY_HOST_H_
 
 /// @file
-/// All decisions of one entry host: events and the time go in, actions come
-/// out. The same events at the same times give the same actions.
+/// The decision logic of one entry host as a deterministic state machine:
+/// events with their times go in, actions come out. The same events at the same
+/// times give the same actions.
 
 #include <memory>
 #include <optional>
@@ -21,20 +22,21 @@
 
 namespace foxtailspread {
 
-/// What an entry host is told at its start.
+/// The start parameters of an entry host.
 struct host_identity {
-  host_entry self;                ///< With a life no former start had.
-  std::string deployment;         ///< The only one whose configuration counts.
-  std::vector<host_entry> seeds;  ///< Hosts to ask while the platform is down.
+  host_entry self;  ///< Its `life` differs in every start.
+  /// Configurations of other deployments are refused; empty accepts any.
+  std::string deployment;
+  std::vector<host_entry> seeds;  ///< Contacted while the platform is down.
   action_secret secret;
 };
 
-/// The platform's key of the configuration.
+/// The key of the configuration in the platform's object store.
 inline constexpr std::string_view kConfigKey = "config";
-/// The prefix of the platform's keys of drains ordered by operators.
+/// The prefix of the keys of drains that operators ordered.
 inline constexpr std::string_view kDrainKeyPrefix = "drains/";
 
-/// The decisions of one entry host.
+/// The decision logic of one entry host.
 ///
 /// @code
 /// entry_host host(identity, timing);
@@ -48,13 +50,13 @@
   entry_host(const entry_host&) = delete;
   entry_host& operator=(const entry_host&) = delete;
 
-  /// Takes one event in and appends the actions it leads to. Times never go
-  /// back. A tick is due every few milliseconds.
+  /// Handles one event and appends the resulting actions to `out`. `now` must
+  /// not decrease from call to call. Send a tick every few milliseconds.
   void Handle(const host_event& event, time_point now, action_list& out);
 
-  /// True when the balancer should send callers here.
+  /// True if the load balancer should send callers to this host.
   bool Ready(time_point now) const;
-  /// True when this host has a configuration that it may act on.
+  /// True if this host has a configuration that is recent enough to act on.
   bool HasCurrentConfig(time_point now) const;
 
   /// The configuration in force, or nullptr.
@@ -67,7 +69,7 @@
   size_t RequestsInFlight() const { return front_.size(); }
   bool leaving() const { return leaving_; }
 
-  /// Returns what ended since the last call.
+  /// Returns reports of the requests that ended since the last call.
   std::vector<request_report> TakeReports() { return front_.TakeReports(); }
 
  private:
@@ -101,7 +103,7 @@
   request_front front_;
   std::optional<deployment_config> config_;
   bool targets_changed_ = false;
-  std::set<std::string> listed_leaving_;  ///< By the platform.
+  std::set<std::string> listed_leaving_;  ///< According to the platform.
   time_point next_hello_{};
   std::optional<time_point> first_peer_batch_;
   bool started_ = false;
--- a/include/foxtailspread/host_io.h
+++ b/include/foxtailspread/host_io.h
@@ -2,9 +2,9 @@
 #define FOXTAILSPREAD_HOST_IO_H_
 
 /// @file
-/// The events that an entry host's decisions take in and the actions that
-/// they give out. Both are plain values, so that a run can be recorded and
-/// replayed. Daemons turn what happens into events and carry the actions out.
+/// The input events and output actions of an entry host's decision logic. Both
+/// are plain values, so that a run can be recorded and replayed. The daemons
+/// translate network and timer activity into events and perform the actions.
 
 #include <cstdint>
 #include <optional>
@@ -21,7 +21,7 @@
 
 namespace foxtailspread {
 
-/// What is said of a request; nothing else ever is.
+/// The outcome of a request as reported to its caller; there are no others.
 enum class request_outcome { kDone, kNotRun, kUnknown };
 
 /// Returns "done", "not-run" or "unknown".
@@ -32,19 +32,20 @@
 /// Time passed.
 struct tick_event {};
 
-/// A caller's request arrived whole.
+/// A caller's request was received completely.
 struct caller_request {
-  uint64_t request_id = 0;   ///< Unique within the host's life.
-  std::string token_digest;  ///< SHA-256 of the bearer token, hex; or empty.
+  uint64_t request_id = 0;   ///< Unique until the host restarts.
+  std::string token_digest;  ///< Hex SHA-256 of the bearer token, or empty.
   std::string service;
   std::string key;
-  std::string urgency;      ///< As given; empty for the service's default.
+  std::string urgency;      ///< As sent; empty for the service's default.
   int64_t deadline_us = 0;  ///< Time allowed; 0 for the service's default.
   std::string action;       ///< Action identifier, or empty.
   uint64_t body_hash = 0;   ///< xxHash of the body.
 };
 
-/// A request that another entry host took in and sends to the steward.
+/// A request that another entry host received and forwards to the steward of
+/// its range.
 struct forwarded_request {
   uint64_t request_id = 0;
   std::string from;  ///< Name of the forwarding host.
@@ -53,10 +54,10 @@
   std::string service;
   std::string key;
   urgency level = urgency::kOrdinary;
-  int64_t deadline_us = 0;  ///< Time left.
+  int64_t deadline_us = 0;  ///< Time left until the deadline.
   std::string action;
   uint64_t body_hash = 0;
-  bool mint = false;  ///< Wants an action identifier; nothing is run.
+  bool mint = false;  ///< Requests an action identifier; runs nothing.
 };
 
 /// The caller (or forwarding host) closed its connection.
@@ -64,7 +65,7 @@
   uint64_t request_id = 0;
 };
 
-/// A caller wants an action identifier.
+/// A caller requests an action identifier.
 struct mint_request {
   uint64_t request_id = 0;
   std::string token_digest;
@@ -76,7 +77,7 @@
   uint64_t attempt_id = 0;
   attempt_end end = attempt_end::kBroken;
   int status = 0;
-  /// The answer's body, only where the attempt asked to keep it.
+  /// The answer's body; empty unless the attempt had `keep_body` set.
   std::string body;
   std::string content_type;
 };
@@ -96,44 +97,44 @@
   int status = 0;
   request_outcome outcome = request_outcome::kUnknown;
   int64_t retry_after_us = 0;
-  /// Identifiers of actions that came with it, or empty.
+  /// The action identifiers that came with the answer, or empty.
   std::string next_action{};
 };
 
 /// How a grant order ended.
 enum class grant_end { kAccepted, kRefused, kFailed };
 
-/// A target answered a grant order, or did not.
+/// A grant order was answered by its target, or failed.
 struct grant_ended {
   std::string range;
   std::string target;
   uint64_t seq = 0;
   grant_end end = grant_end::kFailed;
   int64_t clock_us = 0;
-  uint64_t epoch = 0;  ///< The highest that the target has seen.
+  uint64_t epoch = 0;  ///< The highest epoch the target has seen.
 };
 
-/// A message of another entry host arrived.
+/// A message from another entry host arrived.
 struct peer_received {
   peer_message message;
 };
 
-/// How a call of the platform ended.
+/// How a call to the platform ended.
 enum class platform_end {
   kOk,
-  kConflict,  ///< The condition failed; `object` is what stands there.
+  kConflict,  ///< Condition failed; `object` has the current state.
   kMissing,
-  kFailed,   ///< No answer: a write may have taken effect.
-  kRefused,  ///< Over the platform's rate, or not accepted.
+  kFailed,   ///< No answer; a write may have taken effect.
+  kRefused,  ///< Over the platform's rate limit, or invalid.
 };
 
-/// A call of the platform ended.
+/// A call to the platform ended.
 struct platform_ended {
   uint64_t call_id = 0;
   platform_end end = platform_end::kFailed;
   object_change object;  ///< For gets, puts and conflicts.
   change_batch changes;  ///< For watches.
-  /// For lists of hosts: the names of those that are leaving.
+  /// For lists of hosts: the names of the hosts and targets that are leaving.
   std::vector<std::string> leaving{};
 };
 
@@ -145,21 +146,22 @@
                  mint_request, attempt_ended, forward_ended, grant_ended,
                  peer_received, platform_ended, leave_requested>;
 
-/// The status of an answer between hosts: the receiver is not the steward.
-/// Not 421, which libsoup takes as a reason to send the request again itself.
+/// The HTTP status of a forward's answer if the receiving host is not the
+/// steward of the range. It is not 421, because libsoup resends a request by
+/// itself after a 421.
 inline constexpr int kMisdirected = 410;
 
 // --------------------------------------------------------------- actions
 
 /// Where the body of an answer comes from.
 enum class body_source {
-  kNone,     ///< The error fields make the body.
+  kNone,     ///< The body is made from the error fields.
   kAttempt,  ///< The body of that attempt's answer.
   kForward,  ///< The body of that forward's answer.
   kInline,   ///< `body` of the action itself.
 };
 
-/// Give the caller its final answer.
+/// Send the caller its final answer.
 struct answer_action {
   uint64_t request_id = 0;
   request_outcome outcome = request_outcome::kNotRun;
@@ -167,9 +169,9 @@
   std::string code;  ///< Stable name of the error, empty when done.
   std::string reason;
   std::string remedy;
-  int64_t retry_after_us = 0;  ///< When to come back; 0 if of no use.
-  std::string next_action;     ///< A fresh action identifier, or empty.
-  std::string target;          ///< The target that ran it, if done here.
+  int64_t retry_after_us = 0;  ///< 0 if a retry would not help.
+  std::string next_action;     ///< A new action identifier, or empty.
+  std::string target;          ///< The target that ran it, if sent from here.
   body_source source = body_source::kNone;
   uint64_t body_id = 0;
   std::string body;
@@ -189,10 +191,10 @@
   int64_t not_after_us = 0;  ///< Boot clock; not sent at or after this time.
   int64_t time_left_us = 0;
   int64_t target_clock_deadline_us = 0;  ///< Target's clock; 0 if unknown.
-  bool keep_body = false;  ///< Hand the answer's body in with its end.
+  bool keep_body = false;  ///< Report the answer's body in attempt_ended.
 };
 
-/// Give an attempt up: close its connection.
+/// Cancel an attempt by closing its connection.
 struct cancel_attempt_action {
   uint64_t attempt_id = 0;
 };
@@ -213,12 +215,12 @@
   bool mint = false;
 };
 
-/// Give a forward up: close its connection.
+/// Cancel a forward by closing its connection.
 struct cancel_forward_action {
   uint64_t forward_id = 0;
 };
 
-/// Order a target to own exactly these buckets.
+/// Order a target to own exactly the listed buckets.
 struct grant_action {
   std::string range;
   std::string target;
@@ -245,7 +247,7 @@
   uint64_t call_id = 0;
   platform_call_kind kind = platform_call_kind::kGet;
   std::string key;
-  uint64_t if_revision = 0;  ///< For puts; 0 means that nothing may exist.
+  uint64_t if_revision = 0;  ///< For puts; 0: the object must not exist.
   std::string value;
   uint64_t since = 0;   ///< For watches.
   int64_t wait_us = 0;  ///< For watches.
@@ -260,7 +262,8 @@
   std::vector<event_field> fields;
 };
 
-/// Everything is handed over and answered: the process may end.
+/// The host has stopped: its ranges are handed over and its requests answered,
+/// or the drain limit has passed. The process may exit.
 struct stop_action {};
 
 using host_action =
--- a/src/core/entry_host.cc
+++ b/src/core/entry_host.cc
@@ -7,11 +7,12 @@
 namespace foxtailspread {
 namespace {
 
-/// A host without the platform serves on its peers' word only after it had
-/// time to hear more than one of them.
-constexpr duration kPeerSettle{std::chrono::seconds{1}};
+/// A host that cannot reach the platform uses its peers' configuration only
+/// this long after the first batch of changes, so that it hears several peers.
+constexpr duration kPeerSettleTime{std::chrono::seconds{1}};
 
-std::string_view After(std::string_view text, std::string_view prefix) {
+/// Returns `text` without `prefix`, which it must start with.
+std::string_view RemovePrefix(std::string_view text, std::string_view prefix) {
   return text.substr(prefix.size());
 }
 
@@ -75,11 +76,11 @@
   } else if (const auto* e = std::get_if<peer_received>(&event)) {
     OnPeer(e->message, now, output);
   } else if (const auto* e = std::get_if<platform_ended>(&event)) {
-    const uint64_t before = sync_.cache().revision();
-    const auto news = sync_.OnPlatform(*e, now);
+    const uint64_t old_revision = sync_.cache().revision();
+    const auto changes = sync_.OnPlatform(*e, now);
     NoteLeaving();
-    TakeNews(news, now, out);
-    Relay(news, before, "");
+    TakeNews(changes, now, out);
+    Relay(changes, old_revision, "");
   } else if (std::holds_alternative<leave_requested>(event)) {
     OnLeave(now);
   }
@@ -110,29 +111,31 @@
   if (!sync_.synced()) {
     return;
   }
-  host_entry wanted = self_;
-  wanted.leaving = leaving_;
+  host_entry own_entry = self_;
+  own_entry.leaving = leaving_;
   const std::string key = std::string(kHostKeyPrefix) + self_.name;
-  const object_change* held = sync_.cache().Find(key);
-  if (held != nullptr) {
-    const result<host_entry> entry = ParseHostEntry(self_.name, held->value);
-    if (entry && entry.value() == wanted) {
+  const object_change* registered = sync_.cache().Find(key);
+  if (registered != nullptr) {
+    const result<host_entry> entry =
+        ParseHostEntry(self_.name, registered->value);
+    if (entry && entry.value() == own_entry) {
       return;
     }
   }
-  sync_.Write(key, FormatHostEntry(wanted), now, out);
+  sync_.Write(key, FormatHostEntry(own_entry), now, out);
 }
 
 void entry_host::Greet(time_point now) {
-  const bool due = now >= next_hello_;
-  const bool beacon = sync_.TakeBeaconNews();
-  if (!due && !beacon) {
+  const bool hello_due = now >= next_hello_;
+  const bool beacon_changed = sync_.TakeBeaconNews();
+  if (!hello_due && !beacon_changed) {
     return;
   }
-  if (due) {
+  if (hello_due) {
     next_hello_ = now + timing_.hello;
   }
-  // A content that crashed a target here may be sent to any other range next.
+  // Request content that crashed a target here may next be sent to any other
+  // range.
   const std::vector<poison_mark> marks = ranges_.ExportPoison(now);
   for (const std::string& name : directory_.Neighbours()) {
     peer_message& message = outbox_[name];
@@ -146,29 +149,29 @@
 
 void entry_host::OnPeer(const peer_message& message, time_point now,
                         steward_output& out) {
-  const std::string& from = message.from.host;
+  const std::string& sender = message.from.host;
   directory_.Heard(message.from, now);
   if (message.leaving) {
-    directory_.NoteLeaving(from);
+    directory_.NoteLeaving(sender);
   }
-  const uint64_t before = sync_.cache().revision();
+  const uint64_t old_revision = sync_.cache().revision();
   if (message.changes) {
-    const auto news = sync_.OnRelayed(*message.changes);
+    const auto changes = sync_.OnRelayed(*message.changes);
     if (!first_peer_batch_) {
       first_peer_batch_ = now;
     }
-    TakeNews(news, now, out.actions);
-    Relay(news, before, from);
+    TakeNews(changes, now, out.actions);
+    Relay(changes, old_revision, sender);
   }
-  const uint64_t own = sync_.cache().revision();
-  if (message.wants_changes && own > message.revision) {
-    outbox_[from].changes = sync_.cache().ChangesSince(message.revision);
+  const uint64_t own_revision = sync_.cache().revision();
+  if (message.wants_changes && own_revision > message.revision) {
+    outbox_[sender].changes = sync_.cache().ChangesSince(message.revision);
   }
   if (message.probe) {
-    outbox_[from];  // Even an empty message is an answer.
+    outbox_[sender];  // An empty message also answers the probe.
   }
-  if (message.revision > own) {
-    outbox_[from].wants_changes = true;
+  if (message.revision > own_revision) {
+    outbox_[sender].wants_changes = true;
   }
   for (const watch_beacon& beacon : message.beacons) {
     sync_.OnBeacon(beacon, now);
@@ -195,19 +198,19 @@
     if (change.key == kConfigKey) {
       TakeConfig(change, now, out);
     } else if (change.key.starts_with(kRangeKeyPrefix)) {
-      const std::string_view range = After(change.key, kRangeKeyPrefix);
-      const uint64_t before = ranges_.FirstEpoch(range);
-      const status taken = ranges_.OnRecord(change, now);
-      if (ranges_.FirstEpoch(range) != before) {
+      const std::string_view range = RemovePrefix(change.key, kRangeKeyPrefix);
+      const uint64_t old_epoch = ranges_.FirstEpoch(range);
+      const status applied = ranges_.OnRecord(change, now);
+      if (ranges_.FirstEpoch(range) != old_epoch) {
         front_.OnRosterChange(range);
       }
-      if (!taken) {
+      if (!applied) {
         out.push_back(log_action{
             event_id::kObjectRefused,
-            {{"key", change.key}, {"error", taken.error().Message()}}});
+            {{"key", change.key}, {"error", applied.error().Message()}}});
       }
     } else if (change.key.starts_with(kHostKeyPrefix)) {
-      const std::string_view name = After(change.key, kHostKeyPrefix);
+      const std::string_view name = RemovePrefix(change.key, kHostKeyPrefix);
       if (change.deleted) {
         directory_.Remove(name);
         continue;
@@ -222,7 +225,8 @@
       }
     } else if (change.key.starts_with(kDrainKeyPrefix)) {
       targets_changed_ = true;
-      if (After(change.key, kDrainKeyPrefix) == self_.name && !change.deleted) {
+      if (RemovePrefix(change.key, kDrainKeyPrefix) == self_.name &&
+          !change.deleted) {
         OnLeave(now);
       }
     }
@@ -232,17 +236,20 @@
 void entry_host::TakeConfig(const object_change& change, time_point now,
                             action_list& out) {
   if (change.deleted) {
-    // Nothing replaces a configuration by none; the last good one stays.
-    out.push_back(log_action{event_id::kConfigRefused,
-                             {{"error", "the configuration was removed"}}});
+    // A removed configuration is ignored: the last valid one stays in force.
+    out.push_back(log_action{
+        event_id::kConfigRefused,
+        {{"error", "the configuration object was removed from the platform"}}});
     return;
   }
   result<deployment_config> parsed = ParseConfig(change.value);
   if (parsed && !deployment_.empty() &&
       parsed.value().deployment != deployment_) {
-    parsed = error{error_code::kConflict, "deployment",
-                   "the configuration is that of " + parsed.value().deployment,
-                   "correct this host's settings or its platform's address"};
+    parsed = error{
+        error_code::kConflict, "deployment",
+        "the configuration belongs to deployment " + parsed.value().deployment,
+        "correct the deployment name or the platform address in this "
+        "host's settings"};
   }
   if (!parsed) {
     out.push_back(log_action{event_id::kConfigRefused,
@@ -294,16 +301,18 @@
   if (news.empty()) {
     return;
   }
-  // Not only what was news here: an object that this host knew out of turn
-  // belongs to the stretch too, and a neighbour that got the stretch without it
-  // would take itself for complete.
+  // Relays all changes after `since`, not only those that were new here. This
+  // host may have read or written an object itself before the watch reported
+  // it. A neighbour that received the batch without that object would wrongly
+  // consider its copy complete up to the batch's revision.
   for (const std::string& name : directory_.Neighbours()) {
     if (name == except) {
       continue;
     }
-    std::optional<change_batch>& waiting = outbox_[name].changes;
-    const uint64_t from = waiting ? std::min(waiting->since, since) : since;
-    waiting = sync_.cache().ChangesSince(from);
+    std::optional<change_batch>& unsent = outbox_[name].changes;
+    const uint64_t batch_start =
+        unsent ? std::min(unsent->since, since) : since;
+    unsent = sync_.cache().ChangesSince(batch_start);
   }
 }
 
@@ -319,15 +328,15 @@
   if (!leaving_ || stopped_) {
     return;
   }
-  // The balancer goes on sending for a while after this host said that it is
-  // not ready; leaving earlier would cut those callers off.
+  // The load balancer keeps sending requests for a while after this host has
+  // reported that it is not ready; stopping earlier would break those requests.
   if (now < leaving_since_ + timing_.ready_lag) {
     return;
   }
-  const bool late = now >= leaving_since_ + timing_.drain_limit;
-  ranges_.HandOver(now, late, out);
+  const bool drain_timed_out = now >= leaving_since_ + timing_.drain_limit;
+  ranges_.HandOver(now, drain_timed_out, out);
   front_.Settle(now, out);
-  if (late || (ranges_.Released() && front_.size() == 0)) {
+  if (drain_timed_out || (ranges_.Released() && front_.size() == 0)) {
     stopped_ = true;
     out.actions.push_back(
         log_action{event_id::kHostStopped, {{"host", self_.name}}});
@@ -352,10 +361,10 @@
   if (!config_) {
     return false;
   }
-  // Without the platform the peers' word counts, once there was time for the
-  // most advanced of them to be heard.
+  // Without the platform, the peers' configuration is used once there was time
+  // to hear the peer with the newest revision.
   return sync_.synced() ||
-         (first_peer_batch_ && now >= *first_peer_batch_ + kPeerSettle);
+         (first_peer_batch_ && now >= *first_peer_batch_ + kPeerSettleTime);
 }
 
 bool entry_host::Ready(time_point now) const {
