--- a/include/foxtailspread/object_cache.h
+++ b/include/foxtailspread/object_cache.h
@@ -2,9 +2,10 @@
 #define FOXTAILSPREAD_OBJECT_CACHE_H_
 
 /// @file
-/// The host's copy of the platform's objects, fed by the platform's watch and
-/// by other hosts that relay it. Revisions only grow, so that no relay, late
-/// answer or lagging peer can bring an older state back.
+/// A host's copy of the platform's objects, updated by the platform's watch and
+/// by changes that other hosts relay. An object's revision only grows, so that
+/// a delayed message or answer, or a peer that is behind, cannot restore an
+/// older state.
 
 #include <cstdint>
 #include <functional>
@@ -15,7 +16,7 @@
 
 namespace foxtailspread {
 
-/// The latest state of one object as of a revision.
+/// The state that one object got at `revision`.
 struct object_change {
   std::string key;
   uint64_t revision = 0;
@@ -23,35 +24,36 @@
   std::string value;  ///< JSON text; empty when deleted.
 };
 
-/// All changes after one revision of the platform up to another.
+/// All changes of the platform's objects between two revisions.
 struct change_batch {
-  uint64_t since = 0;     ///< The changes are complete from here ...
-  uint64_t revision = 0;  ///< ... up to and including this revision.
+  uint64_t since = 0;     ///< Complete after this revision ...
+  uint64_t revision = 0;  ///< ... up to and including this one.
   std::vector<object_change> changes;
 };
 
-/// A copy of the platform's objects that never goes back.
+/// A copy of the platform's objects whose revisions never decrease.
 class object_cache {
  public:
-  /// Takes a batch in and returns the changes that were news, in order of
-  /// revision. A batch that starts after the cache's revision leaves a gap:
-  /// its objects are taken, but the cache's revision stays, so that the gap
-  /// is asked for again.
+  /// Applies a batch and returns the changes that were newer than the cached
+  /// objects, in order of revision. A batch that starts after the cache's
+  /// revision leaves a gap: its objects are applied, but the cache's revision
+  /// stays, so that the missing changes are requested again.
   std::vector<object_change> Apply(const change_batch& batch);
 
-  /// Takes one object in, as read or written by this host itself. The cache's
-  /// revision stays. Returns false when it was not news.
+  /// Applies one change, as read or written by this host itself. The cache's
+  /// revision stays. Returns false if the cached object is as new or newer.
   bool ApplyOne(const object_change& change);
 
-  /// Returns what changed after `since`. Objects that were removed are kept
-  /// as removals, so that a relay passes them on.
+  /// Returns the changes after revision `since`. Removed objects are kept as
+  /// tombstones, so that removals are relayed as well.
   change_batch ChangesSince(uint64_t since) const;
 
-  /// Returns the object, or nullptr when it is absent or removed. Valid until
-  /// the next change.
+  /// Returns the object, or nullptr if it is absent or removed. The pointer is
+  /// valid until the next change.
   const object_change* Find(std::string_view key) const;
 
-  /// Calls `visit` for each present object whose key starts with `prefix`.
+  /// Calls `visit` for each object that is not removed and whose key starts
+  /// with `prefix`.
   void ForEach(std::string_view prefix,
                const std::function<void(const object_change&)>& visit) const;
 
--- a/include/foxtailspread/object_sync.h
+++ b/include/foxtailspread/object_sync.h
@@ -4,12 +4,13 @@
 /// @file
 /// Keeps a host's copy of the platform's objects up to date with few calls.
 ///
-/// One host of each zone holds the platform's watch; the others get what it
-/// learns from their neighbours. A relayed message is a hint: whoever misses
-/// it sees from the next greeting's revision that it is behind, and asks. The
-/// watcher's progress travels as a beacon, with the names that the platform
-/// lists as leaving; hosts that see none for a while start a watch of their
-/// own, the first in rank first.
+/// One host of each zone, the watcher, keeps a watch open on the platform; the
+/// other hosts receive its changes, relayed from neighbour to neighbour.
+/// Relayed messages may be lost: a host that missed one sees from the revision
+/// in the next hello message that it is behind, and requests the changes. The
+/// watcher announces its progress in a beacon, together with the names that the
+/// platform lists as leaving. Hosts that receive no beacon for a while start a
+/// watch of their own, in the order of their ranks.
 
 #include <cstdint>
 #include <functional>
@@ -25,23 +26,26 @@
 
 namespace foxtailspread {
 
-/// The times of the watch.
+/// Timeouts and periods of the synchronisation.
 struct sync_timing {
-  duration watch_wait{std::chrono::seconds{2}};      ///< Of one waiting watch.
-  duration beacon_silence{std::chrono::seconds{5}};  ///< Then rank 0 watches.
+  duration watch_wait{std::chrono::seconds{2}};  ///< Longest wait of a watch.
+  duration beacon_silence{
+      std::chrono::seconds{5}};  ///< Rank 0 takes over then.
+  /// Each further rank waits this much longer before it takes over.
   duration rank_stagger{std::chrono::seconds{1}};
-  duration list_period{
-      std::chrono::milliseconds{1500}};  ///< Of the list of hosts.
+  /// Time between two reads of the platform's list of hosts.
+  duration list_period{std::chrono::milliseconds{1500}};
+  /// Delay after the first failed call; doubled with each further failure.
   duration retry_first{std::chrono::milliseconds{100}};
-  duration retry_most{std::chrono::seconds{2}};
+  duration retry_most{std::chrono::seconds{2}};  ///< Longest retry delay.
 };
 
-/// Grows the pause between attempts at something that keeps failing.
+/// Exponential backoff: doubles the retry delay with each failure.
 class backoff {
  public:
   backoff(duration first, duration most) : first_(first), most_(most) {}
 
-  /// Notes a failure; the next attempt is due after the returned pause.
+  /// Records a failure and returns the delay before the next attempt.
   duration Fail();
   void Succeed() { pause_ = duration{0}; }
 
@@ -51,48 +55,54 @@
   duration pause_{0};
 };
 
-/// The copy, the watch and the conditional writes of one host.
+/// The object cache, the watch and the conditional writes of one host.
 class object_sync {
  public:
   object_sync(std::string host, std::string zone, sync_timing timing);
 
-  /// Starts, keeps or drops the watch. `rank` is this host's position among
-  /// the hosts of its zone.
+  /// Starts a watch if it is this host's turn, and reads the list of hosts if
+  /// this host is the watcher. `rank` is its position among the hosts of its
+  /// zone.
   void Tick(time_point now, size_t rank, action_list& out);
 
-  /// Takes the end of one of this object's calls in. Returns the news.
+  /// Handles the end of a platform call that this class started. Returns the
+  /// changes that the cache did not have yet.
   std::vector<object_change> OnPlatform(const platform_ended& ended,
                                         time_point now);
 
-  /// Takes a neighbour's batch in. Returns the news.
+  /// Applies a batch relayed by a neighbour. Returns the changes that the
+  /// cache did not have yet.
   std::vector<object_change> OnRelayed(const change_batch& batch);
 
-  /// Takes a beacon in. Returns true when it was news, to be passed on.
+  /// Handles a received beacon. Returns true if it replaced the current one
+  /// and has to be relayed.
   bool OnBeacon(const watch_beacon& beacon, time_point now);
   /// Returns the newest beacon of this zone, if any.
   const std::optional<watch_beacon>& beacon() const { return beacon_; }
   /// True when `beacon()` changed since the last call.
   bool TakeBeaconNews();
 
-  /// Writes `value` to `key` if what is known of it is still current there.
-  /// At most one write of a key is under way; failed ones are retried only by
-  /// calling again, after the answer to a read told what stands there. Returns
-  /// false when nothing was sent because a write or a pause is under way.
+  /// Writes `value` to `key` on the condition that the cached revision is still
+  /// the platform's. At most one call per key is in flight. A failed write is
+  /// not retried by itself: the caller calls again. After a write without an
+  /// answer, calls read the object until a read succeeds, and only then write
+  /// again. Returns false if nothing was sent because a call is in flight or a
+  /// retry delay is running.
   bool Write(std::string_view key, std::string value, time_point now,
              action_list& out);
 
   const object_cache& cache() const { return cache_; }
-  /// True once the whole content was read from the platform in this life.
+  /// True once this process has read all objects from the platform itself.
   bool synced() const { return synced_; }
-  /// True while this host's own last call of the platform succeeded.
+  /// True if the platform answered this host's last call.
   bool platform_answers() const { return platform_answers_; }
-  /// The number of calls sent so far.
+  /// The number of platform calls started so far.
   uint64_t calls() const { return next_call_ - 1; }
 
  private:
   struct write_state {
-    uint64_t call_id = 0;  ///< 0 when none is under way.
-    bool must_read = false;
+    uint64_t call_id = 0;    ///< 0 if no call is in flight.
+    bool must_read = false;  ///< The last write may have taken effect.
     time_point not_before{};
     backoff pause;
   };
--- a/src/core/object_cache.cc
+++ b/src/core/object_cache.cc
@@ -5,32 +5,32 @@
 namespace foxtailspread {
 namespace {
 
-bool ByRevision(const object_change& a, const object_change& b) {
+bool HasLowerRevision(const object_change& a, const object_change& b) {
   return a.revision < b.revision;
 }
 
 }  // namespace
 
 std::vector<object_change> object_cache::Apply(const change_batch& batch) {
-  std::vector<object_change> news;
+  std::vector<object_change> new_changes;
   for (const object_change& change : batch.changes) {
     if (ApplyOne(change)) {
-      news.push_back(change);
+      new_changes.push_back(change);
     }
   }
-  std::sort(news.begin(), news.end(), ByRevision);
+  std::sort(new_changes.begin(), new_changes.end(), HasLowerRevision);
   if (batch.since <= revision_) {
     revision_ = std::max(revision_, batch.revision);
   }
-  return news;
+  return new_changes;
 }
 
 bool object_cache::ApplyOne(const object_change& change) {
-  object_change& held = objects_[change.key];
-  if (change.revision <= held.revision) {
+  object_change& cached = objects_[change.key];
+  if (change.revision <= cached.revision) {
     return false;
   }
-  held = change;
+  cached = change;
   return true;
 }
 
@@ -43,7 +43,7 @@
       batch.changes.push_back(object);
     }
   }
-  std::sort(batch.changes.begin(), batch.changes.end(), ByRevision);
+  std::sort(batch.changes.begin(), batch.changes.end(), HasLowerRevision);
   return batch;
 }
 
--- a/src/core/object_sync.cc
+++ b/src/core/object_sync.cc
@@ -20,8 +20,8 @@
     started_ = true;
     beacon_at_ = now;
   }
-  const bool due = watch_call_ == 0 && now >= watch_not_before_;
-  if (due && ShouldWatch(now, rank)) {
+  const bool watch_due = watch_call_ == 0 && now >= watch_not_before_;
+  if (watch_due && ShouldWatch(now, rank)) {
     StartWatch(now, out);
   }
   if (IsWatcher() && list_call_ == 0 && now >= next_list_) {
@@ -35,17 +35,18 @@
 }
 
 bool object_sync::ShouldWatch(time_point now, size_t rank) const {
-  // A host without memory reads everything from the platform itself: a
-  // neighbour's copy may lag behind what this host knew in its former life.
+  // A restarted host reads all objects from the platform itself: a
+  // neighbour's copy may be older than the state that this host had acted on
+  // before its restart.
   if (!synced_) {
     return true;
   }
   if (IsWatcher()) {
     return true;
   }
-  const duration patience =
+  const duration watcher_timeout =
       timing_.beacon_silence + timing_.rank_stagger * static_cast<int>(rank);
-  return now >= beacon_at_ + patience || (!beacon_ && rank == 0);
+  return now >= beacon_at_ + watcher_timeout || (!beacon_ && rank == 0);
 }
 
 void object_sync::StartWatch(time_point now, action_list& out) {
@@ -92,16 +93,17 @@
     return {};
   }
   watch_pause_.Succeed();
-  const bool first = !synced_;
+  const bool first_read = !synced_;
   synced_ = true;
-  std::vector<object_change> news = cache_.Apply(ended.changes);
-  // The first read only fills the copy. The duty to watch goes to whoever the
-  // zone's beacon names, or by rank when there is none. A watch that was under
-  // way when another host's beacon came claims nothing: with each such end
-  // taking the duty back, both would watch for good.
-  const bool unclaimed = !beacon_ && !first;
-  const bool silent = now >= beacon_at_ + timing_.beacon_silence;
-  if (unclaimed || IsWatcher() || silent) {
+  std::vector<object_change> new_changes = cache_.Apply(ended.changes);
+  // The first read only fills the cache. The watcher is the host that the
+  // zone's beacon names, or is chosen by rank if there is no beacon. A watch
+  // that was in flight when another host's beacon arrived must not make this
+  // host the watcher again: each such end would take the role back, and both
+  // hosts would keep watching forever.
+  const bool may_become_watcher = !beacon_ && !first_read;
+  const bool beacon_timed_out = now >= beacon_at_ + timing_.beacon_silence;
+  if (may_become_watcher || IsWatcher() || beacon_timed_out) {
     std::vector<std::string> leaving =
         beacon_ ? beacon_->leaving : std::vector<std::string>{};
     beacon_ = watch_beacon{zone_, host_, beacon_ ? beacon_->seq + 1 : 1,
@@ -109,7 +111,7 @@
     beacon_news_ = true;
     beacon_at_ = now;
   }
-  return news;
+  return new_changes;
 }
 
 std::vector<object_change> object_sync::OnWritten(const std::string& key,
@@ -130,8 +132,8 @@
       state.must_read = false;
       return {};
     case platform_end::kFailed:
-      // The write may have taken effect. What stands there is read before
-      // anything is written again, so that it is neither repeated nor lost.
+      // The write may have taken effect. The object is read before the next
+      // write, so that the write is neither repeated nor lost.
       state.must_read = true;
       state.not_before = now + state.pause.Fail();
       return {};
@@ -150,14 +152,14 @@
   if (beacon.zone != zone_) {
     return false;
   }
-  // Two watchers may be at work after a silence. The lower name stays, so
-  // that the duty settles on one of them.
-  const bool other = beacon_ && beacon.watcher != beacon_->watcher;
-  if (other && beacon_->watcher < beacon.watcher &&
+  // After a beacon timeout, two hosts may have become watchers. The one with
+  // the lower name remains, so that the zone settles on one of them.
+  const bool other_watcher = beacon_ && beacon.watcher != beacon_->watcher;
+  if (other_watcher && beacon_->watcher < beacon.watcher &&
       now < beacon_at_ + timing_.beacon_silence) {
     return false;
   }
-  if (beacon_ && !other && beacon.seq <= beacon_->seq) {
+  if (beacon_ && !other_watcher && beacon.seq <= beacon_->seq) {
     return false;
   }
   beacon_ = beacon;
@@ -174,9 +176,9 @@
                         action_list& out) {
   auto found = writes_.find(key);
   if (found == writes_.end()) {
-    const write_state fresh{
+    const write_state initial_state{
         .pause = backoff{timing_.retry_first, timing_.retry_most}};
-    found = writes_.emplace(std::string(key), fresh).first;
+    found = writes_.emplace(std::string(key), initial_state).first;
   }
   write_state& state = found->second;
   if (state.call_id != 0 || now < state.not_before) {
@@ -188,9 +190,9 @@
   if (state.must_read) {
     call.kind = platform_call_kind::kGet;
   } else {
-    const object_change* held = cache_.Find(key);
+    const object_change* cached = cache_.Find(key);
     call.kind = platform_call_kind::kPut;
-    call.if_revision = held == nullptr ? 0 : held->revision;
+    call.if_revision = cached == nullptr ? 0 : cached->revision;
     call.value = std::move(value);
   }
   state.call_id = call.call_id;
