--- a/include/foxtailspread/peer_directory.h
+++ b/include/foxtailspread/peer_directory.h
@@ -2,8 +2,8 @@
 #define FOXTAILSPREAD_PEER_DIRECTORY_H_
 
 /// @file
-/// The entry hosts of the deployment: who they are, from the platform's
-/// objects `hosts/NAME`, and who was heard of lately, first-hand.
+/// The entry hosts of the deployment, as registered in the platform's objects
+/// `hosts/NAME`, and the time of the last message received from each.
 
 #include <cstdint>
 #include <map>
@@ -18,16 +18,16 @@
 
 namespace foxtailspread {
 
-/// The prefix of the platform's keys of entry hosts.
+/// The prefix of the keys of entry hosts in the platform's object store.
 inline constexpr std::string_view kHostKeyPrefix = "hosts/";
 
-/// What an entry host says of itself in its object `hosts/NAME`.
+/// An entry host's registration of itself in the object `hosts/NAME`.
 struct host_entry {
   std::string name;
   std::string zone;
-  std::string http;  ///< "IP:port" for callers, operators and forwards.
-  std::string peer;  ///< "IP:port" for messages between entry hosts.
-  uint64_t life = 0;
+  std::string http;   ///< "IP:port" for callers, operators and forwards.
+  std::string peer;   ///< "IP:port" for messages between entry hosts.
+  uint64_t life = 0;  ///< Incarnation number; newer ones are higher.
   bool leaving = false;
 
   bool operator==(const host_entry&) const = default;
@@ -36,30 +36,33 @@
 /// Parses the value of `hosts/NAME`.
 result<host_entry> ParseHostEntry(std::string_view name, std::string_view text);
 
-/// Writes the value of `hosts/NAME`.
+/// Formats the value of `hosts/NAME`.
 std::string FormatHostEntry(const host_entry& entry);
 
-/// All known entry hosts.
+/// All known entry hosts, this one included.
 class peer_directory {
  public:
   explicit peer_directory(host_entry self);
 
-  /// Takes an entry of the platform over. A host's life never goes back.
+  /// Adds or replaces a host. An entry with an older life is ignored.
   void Update(const host_entry& entry);
-  /// Forgets a host whose object was removed.
+  /// Removes a host whose object was removed from the platform.
   void Remove(std::string_view name);
-  /// Notes a message of that host; an unknown host is noted by name only.
+  /// Records a message from `from`. Unknown hosts and messages from an older
+  /// life are ignored; a newer life replaces the known one.
   void Heard(const member& from, time_point now);
-  /// Notes that the host said it is leaving.
+  /// Records that the host announced that it is leaving.
   void NoteLeaving(std::string_view name);
 
   /// Returns the host, or nullptr.
   const host_entry* Find(std::string_view name) const;
-  /// Returns whether the host was heard within `within` and is not leaving.
+  /// Returns whether a message of the host arrived less than `within` ago and
+  /// it is not leaving. This host itself is always alive.
   bool Alive(std::string_view name, time_point now, duration within) const;
-  /// Returns the time since the host was heard, or nullopt if never.
+  /// Returns the time since the host's last message, or nullopt if there was
+  /// none.
   std::optional<duration> Silence(std::string_view name, time_point now) const;
-  /// Returns the newest known life of the host, 0 if unknown.
+  /// Returns the newest known life of the host, or 0 if it is unknown.
   uint64_t LatestLife(std::string_view name) const;
   /// Returns the names of all hosts of a zone in ascending order. Valid until
   /// the next change.
@@ -69,10 +72,11 @@
   /// Returns all names in ascending order.
   std::vector<std::string> Names() const;
 
-  /// Returns the hosts that this one tells of changes: the next few of its
-  /// own zone, in ring order, and one of each of the next zones. News reaches
-  /// all hosts of a zone of n in n/kRingNeighbours steps, while the messages
-  /// of one host do not grow with the number of hosts.
+  /// Returns the hosts that this one relays changes to: the next
+  /// kRingNeighbours hosts of its own zone in a ring by name, and one host of
+  /// each of the next kZoneNeighbours zones. A change reaches all n hosts of a
+  /// zone in n/kRingNeighbours steps, while the number of messages that one
+  /// host sends does not grow with the number of hosts.
   std::vector<std::string> Neighbours() const;
 
   const host_entry& self() const { return self_; }
--- a/include/foxtailspread/peer_message.h
+++ b/include/foxtailspread/peer_message.h
@@ -2,8 +2,9 @@
 #define FOXTAILSPREAD_PEER_MESSAGE_H_
 
 /// @file
-/// The message that entry hosts exchange. It mirrors proto/peer.proto without
-/// its types, so that the decision library does not depend on the codec.
+/// The message that entry hosts exchange. It has the content of
+/// proto/peer.proto in plain types, so that the decision library does not
+/// depend on protobuf.
 
 #include <cstdint>
 #include <optional>
@@ -18,20 +19,21 @@
 
 namespace foxtailspread {
 
-/// The steward of a range hands it over to the receiver, in a planned stop.
+/// The steward of a range hands it over to the receiver during a graceful stop.
 struct range_release {
   std::string range;
   uint64_t epoch = 0;
   std::string actions;  ///< The steward's exported action table.
 };
 
-/// The owners of a range's buckets as its steward has them in force.
+/// The current owners of a range's buckets, sent by its steward.
 struct range_map_notice {
   std::string range;
   range_map map;
 };
 
-/// Progress of the platform's watch kept by one host for its zone.
+/// The progress of the watch that one host of a zone keeps open on the platform
+/// for all of them.
 struct watch_beacon {
   std::string zone;
   std::string watcher;
@@ -40,10 +42,11 @@
   std::vector<std::string> leaving{};
 };
 
-/// One message. Every part is optional and idempotent.
+/// One message. Every field but the first two is optional, and handling a
+/// message twice has the effect of handling it once.
 struct peer_message {
   member from;
-  uint64_t revision = 0;  ///< Up to which the sender's objects are complete.
+  uint64_t revision = 0;  ///< The sender has all changes up to this one.
   std::vector<promise_ask> asks;
   std::vector<promise_answer> answers;
   std::vector<range_release> releases;
@@ -53,9 +56,9 @@
   std::vector<poison_mark> poison;
   std::vector<watch_beacon> beacons;
   bool leaving = false;
-  bool probe = false;  ///< Asks for any message in return.
+  bool probe = false;  ///< Requests any message in return.
 
-  /// True when the message carries nothing but its sender's revision.
+  /// True if the message carries nothing but its sender and revision.
   bool Empty() const {
     return asks.empty() && answers.empty() && releases.empty() && !changes &&
            !wants_changes && maps.empty() && poison.empty() &&
--- a/src/core/peer_directory.cc
+++ b/src/core/peer_directory.cc
@@ -8,7 +8,8 @@
 
 using json = nlohmann::json;
 
-/// Returns up to `count` elements that follow `self` in ring order.
+/// Returns up to `count` elements of the sorted `ring` that follow `self`,
+/// wrapping around at the end.
 std::vector<std::string> NextInRing(const std::vector<std::string>& ring,
                                     std::string_view self, size_t count) {
   std::vector<std::string> next;
@@ -30,8 +31,8 @@
   const json value = json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (!value.is_object()) {
     return error{error_code::kMalformed, std::string(name),
-                 "the host's object is not a JSON object",
-                 "remove it; the host writes it anew"};
+                 "the value of the host's object is not a JSON object",
+                 "remove it; the host writes it again"};
   }
   try {
     host_entry entry;
@@ -44,7 +45,7 @@
     return entry;
   } catch (const json::exception& e) {
     return error{error_code::kMalformed, std::string(name), e.what(),
-                 "remove it; the host writes it anew"};
+                 "remove it; the host writes it again"};
   }
 }
 
@@ -64,9 +65,9 @@
 
 void peer_directory::List(std::string_view name, std::string_view zone) {
   std::vector<std::string>& names = by_zone_[std::string(zone)];
-  const auto at = std::lower_bound(names.begin(), names.end(), name);
-  if (at == names.end() || *at != name) {
-    names.insert(at, std::string(name));
+  const auto position = std::lower_bound(names.begin(), names.end(), name);
+  if (position == names.end() || *position != name) {
+    names.insert(position, std::string(name));
   }
 }
 
@@ -154,9 +155,9 @@
 
 const std::vector<std::string>& peer_directory::HostsOfZone(
     std::string_view zone) const {
-  static const std::vector<std::string> none;
+  static const std::vector<std::string> no_hosts;
   const auto found = by_zone_.find(zone);
-  return found == by_zone_.end() ? none : found->second;
+  return found == by_zone_.end() ? no_hosts : found->second;
 }
 
 size_t peer_directory::OwnRank() const {
@@ -174,18 +175,18 @@
 }
 
 std::vector<std::string> peer_directory::Neighbours() const {
-  std::vector<std::string> chosen =
+  std::vector<std::string> neighbours =
       NextInRing(HostsOfZone(self_.zone), self_.name, kRingNeighbours);
-  std::vector<std::string> ring;
+  std::vector<std::string> zones;
   for (const auto& [zone, names] : by_zone_) {
-    ring.push_back(zone);
+    zones.push_back(zone);
   }
   for (const std::string& zone :
-       NextInRing(ring, self_.zone, kZoneNeighbours)) {
-    const std::vector<std::string>& there = HostsOfZone(zone);
-    chosen.push_back(there[OwnRank() % there.size()]);
+       NextInRing(zones, self_.zone, kZoneNeighbours)) {
+    const std::vector<std::string>& zone_hosts = HostsOfZone(zone);
+    neighbours.push_back(zone_hosts[OwnRank() % zone_hosts.size()]);
   }
-  return chosen;
+  return neighbours;
 }
 
 }  // namespace foxtailspread
