--- a/include/foxtailspread/object_store.h
+++ b/include/foxtailspread/object_store.h
@@ -2,9 +2,10 @@
 #define FOXTAILSPREAD_OBJECT_STORE_H_
 
 /// @file
-/// The platform's object store of docs/protocols/PLATFORM.md in memory,
-/// without its sockets and clock: the stand-in program serves it in real
-/// time, tests use it in virtual time.
+/// An in-memory implementation of the platform's object store, specified in
+/// docs/protocols/PLATFORM.md. It has no sockets and no clock of its own: the
+/// foxtail-platform program serves it in real time, tests use it in virtual
+/// time.
 
 #include <cstdint>
 #include <deque>
@@ -18,19 +19,19 @@
 
 namespace foxtailspread {
 
-/// The largest value of an object.
+/// The largest size of an object's value, in bytes.
 inline constexpr size_t kMaxObjectValue = size_t{1} << 20;
 
-/// The longest key of an object.
+/// The longest key of an object, in bytes.
 inline constexpr size_t kMaxObjectKey = 512;
 
-/// The longest that a watch waits.
+/// The longest wait of a watch; longer ones are shortened to it.
 inline constexpr duration kMaxWatchTime{std::chrono::seconds{30}};
 
-/// The revision that stands for "there is no such object".
+/// The revision of an object that does not exist.
 inline constexpr uint64_t kNoRevision = 0;
 
-/// One object, or the trace of a removed one.
+/// One object, or the tombstone of a removed one.
 struct stored_object {
   std::string key;
   uint64_t revision = kNoRevision;
@@ -38,28 +39,30 @@
   bool deleted = false;
 };
 
-/// Checks a key: words of `[a-z0-9._@-]` with `/` between them.
+/// Checks that a key has at most kMaxObjectKeyBytes and consists of non-empty
+/// segments of `[a-z0-9._@-]` separated by `/`.
 status CheckObjectKey(std::string_view key);
 
-/// How a conditional write ended.
+/// Whether a conditional write took effect.
 enum class write_verdict {
   kWritten,
-  kConflict,  ///< Another revision stands there; nothing was written.
-  kNotFound,  ///< There is nothing to remove.
+  kConflict,  ///< The revision differs; nothing was written.
+  kNotFound,  ///< There is no object to remove.
 };
 
-/// The end of a conditional write.
+/// The result of a conditional write.
 struct write_outcome {
   write_verdict verdict = write_verdict::kWritten;
-  uint64_t revision = kNoRevision;  ///< The new one, or the one in the way.
+  /// The new revision, or the existing one on conflict.
+  uint64_t revision = kNoRevision;
 };
 
 /// Objects with revisions, changed only by conditional writes.
 ///
 /// @code
 /// object_store store;
-/// write_outcome made = store.Put("config/main", "{}", kNoRevision).value();
-/// store.Put("config/main", "{\"a\":1}", made.revision);
+/// write_outcome created = store.Put("config/main", "{}", kNoRevision).value();
+/// store.Put("config/main", "{\"a\":1}", created.revision);
 /// @endcode
 class object_store {
  public:
@@ -68,17 +71,17 @@
   const stored_object* Get(std::string_view key) const;
 
   /// Writes `value` if the object's revision is `expected`, or if there is no
-  /// object and `expected` is kNoRevision. Fails for a key, or a value that is
-  /// too large or not JSON.
+  /// object and `expected` is kNoRevision. Returns an error if the key is
+  /// invalid, or if the value is too large or not JSON.
   result<write_outcome> Put(std::string_view key, std::string_view value,
                             uint64_t expected);
 
-  /// Removes the object if its revision is `expected`. The removal is a write
-  /// with a revision of its own.
+  /// Removes the object if its revision is `expected`. The removal gets a
+  /// revision of its own, as any other write.
   write_outcome Remove(std::string_view key, uint64_t expected);
 
-  /// Returns the latest state of each object changed after `since`, removed
-  /// ones too, in order of revision.
+  /// Returns the latest state of each object that changed after revision
+  /// `since`, including removed ones, in order of revision.
   std::vector<stored_object> Changes(uint64_t since) const;
 
   /// The revision of the latest write.
@@ -92,7 +95,7 @@
   std::map<uint64_t, std::string> keys_by_revision_;
 };
 
-/// Names a waiting watch.
+/// Identifies a waiting watch.
 using watch_ticket = uint64_t;
 
 /// Watches that wait for the next write.
@@ -101,14 +104,14 @@
   /// Adds a watch that waits for a revision above `since` until `now + wait`.
   watch_ticket Add(uint64_t since, duration wait, time_point now);
 
-  /// Forgets a watch whose caller is gone.
+  /// Removes a watch whose caller has disconnected.
   void Remove(watch_ticket ticket) { watches_.erase(ticket); }
 
-  /// Returns and forgets the watches that are to be answered: the store has
-  /// gone beyond them, or their time is over.
+  /// Removes and returns the watches to be answered: those with `since` below
+  /// `revision`, and those whose wait has ended.
   std::vector<watch_ticket> TakeDue(uint64_t revision, time_point now);
 
-  /// When the next watch's time is over; time_point::max() if there is none.
+  /// The earliest end of a wait; time_point::max() if no watch waits.
   time_point NextEvent() const;
 
  private:
@@ -121,13 +124,14 @@
   std::map<watch_ticket, watch> watches_;
 };
 
-/// Lets so many calls a second pass, with a burst of one second's worth.
+/// A token bucket that limits calls to `rate` per second. Its capacity, the
+/// largest burst, is the number of calls of one second.
 class token_bucket {
  public:
-  /// A rate of 0 lets nothing pass.
+  /// `rate` is in calls per second; 0 refuses all calls.
   token_bucket(double rate, time_point start);
 
-  /// Takes one call's token, or returns false when there is none.
+  /// Takes one token, or returns false if there is none.
   bool Take(time_point now);
 
  private:
@@ -136,26 +140,27 @@
   time_point filled_;
 };
 
-/// What the platform counts as a call.
+/// The kinds of calls, which have separate rate limits.
 enum class call_kind { kRead, kWrite };
 
-/// Calls since the start.
+/// Numbers of calls since the start.
 struct call_counts {
   uint64_t reads = 0;
   uint64_t writes = 0;
-  uint64_t watches = 0;  ///< Calls of Changes that had to wait.
-  uint64_t refused = 0;  ///< Calls over the rates.
+  uint64_t watches = 0;  ///< Calls for changes that had to wait.
+  uint64_t refused = 0;  ///< Calls over a rate limit.
 };
 
-/// Counts calls and refuses those over the rates.
+/// Counts calls and refuses those over the rate limits.
 class call_meter {
  public:
   call_meter(double read_rate, double write_rate, time_point start);
 
-  /// Counts a call and returns whether it may go on.
+  /// Counts a call. Returns false if it is over its kind's rate limit.
   bool Admit(call_kind kind, time_point now);
 
-  /// Notes that a read turned out to be a watch that waits.
+  /// Counts the latest admitted read as a watch instead, because it has to
+  /// wait.
   void ReadBecameWatch();
 
   const call_counts& Counts() const { return counts_; }
@@ -166,7 +171,7 @@
   call_counts counts_;
 };
 
-/// One host in the platform's list.
+/// One entry of the platform's list of hosts.
 struct listed_host {
   std::string name{};
   std::string kind{};
@@ -178,15 +183,15 @@
 result<listed_host> ParseListedHost(std::string_view name,
                                     std::string_view text);
 
-/// The list of hosts, which shows each change only after a lag.
+/// The platform's list of hosts. Each change becomes visible only after a lag.
 class host_list {
  public:
   explicit host_list(duration lag) : lag_(lag) {}
 
-  /// Notes a change that becomes visible at `now` plus the lag.
+  /// Adds or replaces a host; the change is visible from `now` plus the lag.
   void Put(listed_host host, time_point now);
 
-  /// Returns what is visible at `now`, by name.
+  /// Returns the hosts visible at `now`, sorted by name.
   std::vector<listed_host> Visible(time_point now);
 
  private:
@@ -200,21 +205,22 @@
   std::map<std::string, listed_host> visible_;
 };
 
-/// Faults that a test sets while the platform runs.
+/// Faults that a test injects while the platform runs.
 struct platform_faults {
-  bool down = false;               ///< Closes every connection unanswered.
-  int64_t slow_ms = 0;             ///< Answers come so much later.
-  int64_t lose_write_answers = 0;  ///< So many writes take effect unanswered.
+  bool down = false;               ///< Closes connections without an answer.
+  int64_t slow_ms = 0;             ///< Delay added to each answer.
+  int64_t lose_write_answers = 0;  ///< Next writes that get no answer.
   std::vector<std::string> drop_clients{};  ///< Zones that are cut off.
 
-  /// Whether a call from `zone` ("" if not named) is cut off.
+  /// Whether a call from `zone` is cut off; "" if the caller gave no zone.
   bool Drops(std::string_view zone) const;
 
-  /// Uses up one lost answer; returns whether there was one left.
+  /// Decrements lose_write_answers. Returns false if it was 0 already.
   bool LoseWriteAnswer();
 };
 
-/// Parses the body of `POST /admin/faults` over `faults`, those in force.
+/// Parses the body of `POST /admin/faults`. Fields that it lacks keep the
+/// values of `faults`, the current faults.
 result<platform_faults> ParsePlatformFaults(std::string_view text,
                                             platform_faults faults);
 
--- a/src/core/object_store.cc
+++ b/src/core/object_store.cc
@@ -9,40 +9,42 @@
 namespace foxtailspread {
 namespace {
 
-constexpr int64_t kMaxSlowMilliseconds = int64_t{1000} * 3600;
+constexpr int64_t kMaxAnswerDelayMs = int64_t{1000} * 3600;  // 1 hour.
 
 bool IsKeyCharacter(char c) {
-  const bool word = (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9');
-  return word || c == '.' || c == '_' || c == '@' || c == '-';
+  const bool alphanumeric = (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9');
+  return alphanumeric || c == '.' || c == '_' || c == '@' || c == '-';
 }
 
-bool IsWords(std::string_view key) {
-  char before = '/';
+bool HasValidSegments(std::string_view key) {
+  char previous = '/';
   for (const char c : key) {
-    const bool ends_word = c == '/' && before != '/';
-    if (!ends_word && !IsKeyCharacter(c)) {
+    const bool ends_segment = c == '/' && previous != '/';
+    if (!ends_segment && !IsKeyCharacter(c)) {
       return false;
     }
-    before = c;
+    previous = c;
   }
-  return before != '/';
+  return previous != '/';
 }
 
 }  // namespace
 
 status CheckObjectKey(std::string_view key) {
-  if (key.size() > kMaxObjectKey || !IsWords(key)) {
-    return error{error_code::kMalformed, std::string{key.substr(0, 64)},
-                 "this is not the key of an object",
-                 "use words of a-z 0-9 . _ @ - with / between them"};
+  if (key.size() > kMaxObjectKey || !HasValidSegments(key)) {
+    return error{
+        error_code::kMalformed, std::string{key.substr(0, 64)},
+        "invalid object key",
+        "use non-empty segments of a-z 0-9 . _ @ - separated by /, at most "
+        "512 bytes in all"};
   }
   return OkStatus();
 }
 
 const stored_object* object_store::Get(std::string_view key) const {
   const auto found = objects_.find(key);
-  const bool there = found != objects_.end() && !found->second.deleted;
-  return there ? &found->second : nullptr;
+  const bool exists = found != objects_.end() && !found->second.deleted;
+  return exists ? &found->second : nullptr;
 }
 
 result<write_outcome> object_store::Put(std::string_view key,
@@ -54,14 +56,16 @@
   }
   if (value.size() > kMaxObjectValue) {
     return error{error_code::kTooLarge, std::string{key},
-                 "the value is over 1 MiB", "split it over several objects"};
+                 "the value is larger than 1 MiB",
+                 "split it into several objects"};
   }
   if (!nlohmann::json::accept(value)) {
     return error{error_code::kMalformed, std::string{key},
                  "the value is not JSON", "send one JSON value"};
   }
-  const stored_object* there = Get(key);
-  const uint64_t revision = there == nullptr ? kNoRevision : there->revision;
+  const stored_object* current = Get(key);
+  const uint64_t revision =
+      current == nullptr ? kNoRevision : current->revision;
   if (revision != expected) {
     return write_outcome{write_verdict::kConflict, revision};
   }
@@ -69,12 +73,12 @@
 }
 
 write_outcome object_store::Remove(std::string_view key, uint64_t expected) {
-  const stored_object* there = Get(key);
-  if (there == nullptr) {
+  const stored_object* current = Get(key);
+  if (current == nullptr) {
     return {write_verdict::kNotFound, kNoRevision};
   }
-  if (there->revision != expected) {
-    return {write_verdict::kConflict, there->revision};
+  if (current->revision != expected) {
+    return {write_verdict::kConflict, current->revision};
   }
   return {write_verdict::kWritten, Store(key, "", true)};
 }
@@ -105,16 +109,16 @@
 
 std::vector<watch_ticket> watch_list::TakeDue(uint64_t revision,
                                               time_point now) {
-  std::vector<watch_ticket> due;
+  std::vector<watch_ticket> due_watches;
   std::erase_if(watches_, [&](const auto& entry) {
-    const bool answered =
+    const bool is_due =
         revision > entry.second.since || now >= entry.second.until;
-    if (answered) {
-      due.push_back(entry.first);
+    if (is_due) {
+      due_watches.push_back(entry.first);
     }
-    return answered;
+    return is_due;
   });
-  return due;
+  return due_watches;
 }
 
 time_point watch_list::NextEvent() const {
@@ -129,9 +133,9 @@
     : rate_(rate), tokens_(rate), filled_(start) {}
 
 bool token_bucket::Take(time_point now) {
-  const std::chrono::duration<double> passed = now - filled_;
+  const std::chrono::duration<double> elapsed = now - filled_;
   filled_ = now;
-  tokens_ = std::min(rate_, tokens_ + passed.count() * rate_);
+  tokens_ = std::min(rate_, tokens_ + elapsed.count() * rate_);
   if (tokens_ < 1) {
     return false;
   }
@@ -143,12 +147,12 @@
     : reads_(read_rate, start), writes_(write_rate, start) {}
 
 bool call_meter::Admit(call_kind kind, time_point now) {
-  const bool read = kind == call_kind::kRead;
-  if (!(read ? reads_ : writes_).Take(now)) {
+  const bool is_read = kind == call_kind::kRead;
+  if (!(is_read ? reads_ : writes_).Take(now)) {
     ++counts_.refused;
     return false;
   }
-  ++(read ? counts_.reads : counts_.writes);
+  ++(is_read ? counts_.reads : counts_.writes);
   return true;
 }
 
@@ -171,7 +175,7 @@
   reader.Read("zone", host.zone);
   reader.Read("state", host.state);
   if (host.state != "live" && host.state != "leaving") {
-    reader.Fail(error_code::kUnknownName, "state", "there is no such state",
+    reader.Fail(error_code::kUnknownName, "state", "unknown host state",
                 "use live or leaving");
   }
   if (reader.Error()) {
@@ -218,7 +222,7 @@
   }
   internal::field_reader reader{object.value()};
   reader.Read("down", faults.down);
-  reader.Read("slow_ms", 0, kMaxSlowMilliseconds, faults.slow_ms);
+  reader.Read("slow_ms", 0, kMaxAnswerDelayMs, faults.slow_ms);
   reader.Read("lose_write_answers", 0, INT64_MAX, faults.lose_write_answers);
   reader.Read("drop_clients", faults.drop_clients);
   if (reader.Error()) {
--- a/tests/fake_objects.h
+++ b/tests/fake_objects.h
@@ -2,8 +2,8 @@
 #define FOXTAILSPREAD_TESTS_FAKE_OBJECTS_H_
 
 /// @file
-/// The platform's objects for tests of writers: the object store in memory,
-/// with the faults that writers meet.
+/// A fake of the platform's object API for tests of foxtailctl's commands: the
+/// in-memory object store with injected faults.
 
 #include <functional>
 #include <nlohmann/json.hpp>
@@ -16,7 +16,7 @@
 
 namespace foxtailspread {
 
-/// Satisfies object_api.
+/// Satisfies the concept object_api.
 class fake_objects {
  public:
   result<object_state> Get(std::string_view key) {
@@ -33,13 +33,13 @@
     if (Refuses()) {
       return Down();
     }
-    const write_outcome done =
+    const write_outcome outcome =
         write.value
             ? store_
                   .Put(write.key, write.value->dump(), write.expected_revision)
                   .value()
             : store_.Remove(write.key, write.expected_revision);
-    if (done.verdict != write_verdict::kWritten) {
+    if (outcome.verdict != write_verdict::kWritten) {
       return write_answer{write_decision::kLostRace, At(write.key)};
     }
     ++writes;
@@ -47,20 +47,20 @@
       --lose_answers;
       return Down();
     }
-    return write_answer{write_decision::kAccepted, {done.revision, {}}};
+    return write_answer{write_decision::kAccepted, {outcome.revision, {}}};
   }
 
   result<std::vector<named_object>> List(std::string_view prefix) {
     if (Refuses()) {
       return Down();
     }
-    std::vector<named_object> listed;
+    std::vector<named_object> objects;
     for (const stored_object& object : store_.Changes(kNoRevision)) {
       if (!object.deleted && object.key.starts_with(prefix)) {
-        listed.push_back({object.key, At(object.key)});
+        objects.push_back({object.key, At(object.key)});
       }
     }
-    return listed;
+    return objects;
   }
 
   bool Wait() {
@@ -70,12 +70,12 @@
     return waits_left-- > 0;
   }
 
-  /// Puts a value over whatever stands there, as another writer would.
+  /// Overwrites the object unconditionally, as a concurrent writer would.
   void Put(const std::string& key, const nlohmann::json& value) {
-    const result<write_outcome> done =
+    const result<write_outcome> outcome =
         store_.Put(key, value.dump(), At(key).revision);
-    if (!done) {
-      throw std::invalid_argument(done.error().Message());
+    if (!outcome) {
+      throw std::invalid_argument(outcome.error().Message());
     }
   }
 
@@ -89,12 +89,12 @@
 
   uint64_t Revision() const { return store_.Revision(); }
 
-  int refuse_calls = 0;  ///< So many calls find the platform down.
-  int lose_answers = 0;  ///< So many writes take effect unheard.
-  int waits_left = 10;
-  int writes = 0;                      ///< Accepted through Write.
-  std::function<void()> before_write;  ///< Runs once.
-  std::function<void()> on_wait;
+  int refuse_calls = 0;  ///< Next calls that fail as if the platform were down.
+  int lose_answers = 0;  ///< Next writes that take effect without an answer.
+  int waits_left = 10;   ///< Calls of Wait that return true.
+  int writes = 0;        ///< Accepted calls of Write.
+  std::function<void()> before_write;  ///< Runs once, in the next Write.
+  std::function<void()> on_wait;       ///< Runs in each Wait.
 
  private:
   bool Refuses() { return refuse_calls > 0 && refuse_calls-- > 0; }
--- a/tests/object_store_test.cc
+++ b/tests/object_store_test.cc
@@ -26,38 +26,40 @@
   object_store store_;
 };
 
-// Two operators read the same settings and both write. Without the condition
-// the second would silently undo the first.
-TEST_F(ObjectStoreTest, WriteWithStaleRevisionChangesNothingAndNamesTheOther) {
+// Two operators read the same revision and both write. Without the condition,
+// the second write would silently overwrite the first.
+TEST_F(ObjectStoreTest,
+       WriteWithStaleRevisionConflictsAndReturnsCurrentRevision) {
   const uint64_t first = Write("config/main", "1", kNoRevision);
   const uint64_t second = Write("config/main", "2", first);
-  const write_outcome lost = store_.Put("config/main", "3", first).value();
-  EXPECT_EQ(lost.verdict, write_verdict::kConflict);
-  EXPECT_EQ(lost.revision, second);
+  const write_outcome conflict = store_.Put("config/main", "3", first).value();
+  EXPECT_EQ(conflict.verdict, write_verdict::kConflict);
+  EXPECT_EQ(conflict.revision, second);
   EXPECT_EQ(store_.Get("config/main")->value, "2");
   EXPECT_EQ(store_.Revision(), second);
 }
 
-TEST_F(ObjectStoreTest, CreationOfAnExistingObjectConflicts) {
+TEST_F(ObjectStoreTest, CreatingAnExistingObjectConflicts) {
   Write("a", "1", kNoRevision);
   EXPECT_EQ(store_.Put("a", "2", kNoRevision).value().verdict,
             write_verdict::kConflict);
 }
 
-// A host still holds the revision of an object that was removed and made
-// anew. Its write must not land on the new object.
-TEST_F(ObjectStoreTest, RevisionFromBeforeARemovalDoesNotFitAfterwards) {
-  const uint64_t old = Write("a", "1", kNoRevision);
-  EXPECT_EQ(store_.Remove("a", old).verdict, write_verdict::kWritten);
+// A host has cached the revision of an object that was then removed and created
+// again. Its write with that revision must not change the new object.
+TEST_F(ObjectStoreTest, RevisionFromBeforeARemovalConflictsAfterwards) {
+  const uint64_t old_revision = Write("a", "1", kNoRevision);
+  EXPECT_EQ(store_.Remove("a", old_revision).verdict, write_verdict::kWritten);
   EXPECT_EQ(store_.Get("a"), nullptr);
-  EXPECT_EQ(store_.Put("a", "2", old).value().verdict,
+  EXPECT_EQ(store_.Put("a", "2", old_revision).value().verdict,
             write_verdict::kConflict);
-  EXPECT_GT(Write("a", "3", kNoRevision), old);
-  EXPECT_EQ(store_.Remove("a", old).verdict, write_verdict::kConflict);
-  EXPECT_EQ(store_.Remove("b", old).verdict, write_verdict::kNotFound);
+  EXPECT_GT(Write("a", "3", kNoRevision), old_revision);
+  EXPECT_EQ(store_.Remove("a", old_revision).verdict, write_verdict::kConflict);
+  EXPECT_EQ(store_.Remove("b", old_revision).verdict, write_verdict::kNotFound);
 }
 
-TEST_F(ObjectStoreTest, ChangesShowTheLatestStateOfEachObjectInOrder) {
+TEST_F(ObjectStoreTest,
+       ChangesReturnTheLatestStateOfEachObjectInRevisionOrder) {
   const uint64_t a = Write("a", "1", kNoRevision);
   const uint64_t b = Write("b", "1", kNoRevision);
   Write("a", "2", a);
@@ -71,7 +73,7 @@
   EXPECT_TRUE(store_.Changes(store_.Revision()).empty());
 }
 
-TEST_F(ObjectStoreTest, KeysAndValuesOutOfShapeAreRefused) {
+TEST_F(ObjectStoreTest, InvalidKeysAndValuesAreRefused) {
   for (const char* key : {"", "/a", "a/", "a//b", "A", "a b", "a/../%"}) {
     EXPECT_FALSE(store_.Put(key, "1", kNoRevision)) << key;
   }
@@ -83,53 +85,54 @@
   EXPECT_EQ(store_.Revision(), kNoRevision);
 }
 
-// Any order of writes, lost races and removals against a model of what was
-// last written.
+// Compares a random sequence of writes, conflicting writes and removals with a
+// model that holds the last written revision of each object.
 RC_GTEST_PROP(ObjectStorePropertyTest, RevisionsGrowAndNothingIsMissed, ()) {
   object_store store;
   std::map<std::string, uint64_t> model;  // Live objects and their revisions.
-  std::map<std::string, uint64_t> seen;   // What one follower has been told.
-  uint64_t followed = kNoRevision;
+  std::map<std::string, uint64_t> followed;  // The same, from Changes.
+  uint64_t seen_revision = kNoRevision;
   const int steps = *rc::gen::inRange(0, 60);
   for (int i = 0; i < steps; ++i) {
     const std::string key = "k" + std::to_string(*rc::gen::inRange(0, 4));
-    const uint64_t before = store.Revision();
-    const uint64_t right = model.contains(key) ? model[key] : kNoRevision;
+    const uint64_t previous_revision = store.Revision();
+    const uint64_t current = model.contains(key) ? model[key] : kNoRevision;
     const uint64_t expected =
-        *rc::gen::element(right, right, *rc::gen::inRange<uint64_t>(0, 30));
+        *rc::gen::element(current, current, *rc::gen::inRange<uint64_t>(0, 30));
     const bool remove = *rc::gen::inRange(0, 3) == 0;
     const write_outcome outcome =
         remove ? store.Remove(key, expected)
                : store.Put(key, std::to_string(i), expected).value();
-    const bool fits = expected == right && !(remove && right == kNoRevision);
-    RC_ASSERT((outcome.verdict == write_verdict::kWritten) == fits);
-    RC_ASSERT(store.Revision() == before + (fits ? 1 : 0));
-    if (fits && remove) {
+    const bool succeeds =
+        expected == current && !(remove && current == kNoRevision);
+    RC_ASSERT((outcome.verdict == write_verdict::kWritten) == succeeds);
+    RC_ASSERT(store.Revision() == previous_revision + (succeeds ? 1 : 0));
+    if (succeeds && remove) {
       model.erase(key);
-    } else if (fits) {
+    } else if (succeeds) {
       model[key] = outcome.revision;
     }
     if (*rc::gen::inRange(0, 4) == 0) {
-      for (const stored_object& change : store.Changes(followed)) {
-        RC_ASSERT(change.revision > followed);
-        followed = change.revision;
-        seen[change.key] = change.revision;
+      for (const stored_object& change : store.Changes(seen_revision)) {
+        RC_ASSERT(change.revision > seen_revision);
+        seen_revision = change.revision;
+        followed[change.key] = change.revision;
         if (change.deleted) {
-          seen.erase(change.key);
+          followed.erase(change.key);
         }
       }
-      RC_ASSERT(seen == model);
+      RC_ASSERT(followed == model);
     }
   }
 }
 
-TEST(WatchListTest, WatchEndsWithTheFirstWriteOrItsTime) {
+TEST(WatchListTest, WatchEndsAtTheNextWriteOrItsTimeout) {
   const time_point start{seconds{1}};
   watch_list watches;
   const watch_ticket early = watches.Add(5, milliseconds{100}, start);
   const watch_ticket late = watches.Add(6, seconds{99}, start);
-  const watch_ticket gone = watches.Add(5, milliseconds{1}, start);
-  watches.Remove(gone);
+  const watch_ticket disconnected = watches.Add(5, milliseconds{1}, start);
+  watches.Remove(disconnected);
   EXPECT_EQ(watches.NextEvent(), start + milliseconds{100});
   EXPECT_TRUE(watches.TakeDue(5, start + milliseconds{99}).empty());
   EXPECT_EQ(watches.TakeDue(5, start + milliseconds{100}),
@@ -140,9 +143,9 @@
   EXPECT_EQ(watches.NextEvent(), time_point::max());
 }
 
-// A fleet comes back after an outage and all hosts call at once. The platform
-// refuses what is over its rate, and a caller that waits gets through.
-TEST(CallMeterTest, CallsOverTheRateAreRefusedUntilTimePasses) {
+// After an outage, all hosts call the platform at the same time. It refuses the
+// calls over its rate limit; a caller that retries later must be admitted.
+TEST(CallMeterTest, CallsOverTheRateAreRefusedUntilTokensRefill) {
   const time_point start{seconds{1}};
   call_meter meter{2000, 3, start};
   for (int i = 0; i < 3; ++i) {
@@ -159,7 +162,7 @@
   EXPECT_EQ(meter.Counts().refused, 2U);
 }
 
-// A host says that it leaves. Whoever reads the list goes on seeing it live
+// A host reports that it is leaving. Readers of the list still see it as live
 // until the lag has passed.
 TEST(HostListTest, ChangeIsVisibleOnlyAfterTheLag) {
   const time_point start{seconds{1}};
@@ -171,7 +174,7 @@
   EXPECT_EQ(hosts.Visible(start + seconds{15}).at(0).state, "leaving");
 }
 
-TEST(PlatformFaultsTest, FieldsThatAreAbsentStayAsTheyAre) {
+TEST(PlatformFaultsTest, AbsentFieldsKeepTheirValues) {
   const platform_faults down =
       ParsePlatformFaults(R"({"down":true,"lose_write_answers":1})", {})
           .value();
