--- a/src/core/object_store.cc
+++ b/src/core/object_store.cc
@@ -32,11 +32,9 @@
 
 status CheckObjectKey(std::string_view key) {
   if (key.size() > kMaxObjectKey || !HasValidSegments(key)) {
-    return error{
-        error_code::kMalformed, std::string{key.substr(0, 64)},
-        "invalid object key",
-        "use non-empty segments of a-z 0-9 . _ @ - separated by /, at most "
-        "512 bytes in all"};
+    return error{error_code::kMalformed, std::string{key.substr(0, 64)},
+                 "this is not the key of an object",
+                 "use words of a-z 0-9 . _ @ - with / between them"};
   }
   return OkStatus();
 }
@@ -56,8 +54,7 @@
   }
   if (value.size() > kMaxObjectValue) {
     return error{error_code::kTooLarge, std::string{key},
-                 "the value is larger than 1 MiB",
-                 "split it into several objects"};
+                 "the value is over 1 MiB", "split it over several objects"};
   }
   if (!nlohmann::json::accept(value)) {
     return error{error_code::kMalformed, std::string{key},
