--- a/include/foxtailspread/bucket_homes.h
+++ b/include/foxtailspread/bucket_homes.h
@@ -2,7 +2,7 @@
 #define FOXTAILSPREAD_BUCKET_HOMES_H_
 
 /// @file
-/// Which availability zone each bucket of a keyed service is homed in.
+/// Assigns each bucket of a keyed service to a home availability zone.
 
 #include <string>
 #include <string_view>
@@ -12,13 +12,13 @@
 
 namespace foxtailspread {
 
-/// Returns the home zone of every bucket, in proportion to the number of the
-/// service's targets in each zone. Every host computes the same from the same
-/// configuration, so that no host has to be asked; a change of the targets
-/// moves few buckets. Empty if the service has no targets.
+/// Returns the home zone of every bucket. Zones get buckets in proportion to
+/// the number of the service's targets in them. All hosts compute the same
+/// result from the same configuration, without communication; a change of the
+/// targets moves few buckets. Empty if the service has no targets.
 std::vector<std::string> HomeZones(const service_config& service);
 
-/// Returns the buckets homed in `zone` in ascending order.
+/// Returns the buckets whose home is `zone`, in ascending order.
 std::vector<int> BucketsOfZone(const service_config& service,
                                std::string_view zone);
 
--- a/include/foxtailspread/bucket_owners.h
+++ b/include/foxtailspread/bucket_owners.h
@@ -2,14 +2,15 @@
 #define FOXTAILSPREAD_BUCKET_OWNERS_H_
 
 /// @file
-/// Which target owns which bucket of a range, kept by the range's steward.
+/// Assigns the buckets of a range to targets. The range's steward, the one
+/// entry host that dispatches its requests, keeps this state.
 ///
-/// A target owns its buckets under one lease, renewed for all of them by one
-/// small order. The lease's end is a reading of the target's own clock: the
-/// steward echoes a reading that the target gave and adds the lease to it, so
-/// that an order delayed by the network cannot lengthen the lease. A bucket
-/// passes to another target only after the former one confirmed that it let
-/// go, or after its lease has certainly ended.
+/// A target owns all of its buckets under one lease, which a single small
+/// grant renews. The lease ends at a reading of the target's own clock: the
+/// steward echoes a reading that the target reported and adds the length of
+/// the lease, so a grant delayed by the network cannot extend the lease. A
+/// bucket moves to another target only after the former one has confirmed the
+/// release, or after its lease has certainly expired.
 
 #include <cstdint>
 #include <functional>
@@ -23,109 +24,119 @@
 
 namespace foxtailspread {
 
-/// The times of the leases of targets.
+/// Timing of the leases that targets hold.
 struct lease_timing {
-  duration lease{std::chrono::milliseconds{400}};
+  duration lease{std::chrono::milliseconds{400}};  ///< Length of a lease.
+  /// Interval between grants to a target whose buckets do not change.
   duration renew{std::chrono::milliseconds{100}};
-  /// An order without an answer for so long may be followed by the next one.
+  /// Time after which an unanswered grant may be followed by the next one.
   duration answer_wait{std::chrono::milliseconds{150}};
 };
 
-/// An order to send to a target: own exactly these buckets under this lease.
+/// A message to a target: it owns exactly these buckets under this lease.
 struct grant_order {
   int target = -1;
-  uint64_t seq = 0;
+  uint64_t seq = 0;      ///< Increases with each grant to the target.
   int64_t echo_us = 0;   ///< A reading of the target's clock, 0 if none yet.
   int64_t lease_us = 0;  ///< Counted from `echo_us` on the target's clock.
   std::vector<int> buckets;
 };
 
-/// A bucket changed hands; -1 means that no target serves it now.
+/// A change of the target that serves a bucket; -1 if none serves it now.
 struct owner_change {
   int bucket = -1;
   int target = -1;
 };
 
-/// What one step of the ownership decided.
+/// The grants to send and the changes of owners that one step results in.
 struct ownership_step {
   std::vector<grant_order> orders;
   std::vector<owner_change> changes;
 };
 
-/// The owners of all buckets of one range at its acting steward.
+/// The owners of all buckets of one range, kept by its acting steward.
 ///
-/// Indices from `bucket_count` on are single keys that are owned apart from
-/// their bucket; they move by the same rules.
+/// Indices from `bucket_count` on stand for single keys that are owned
+/// separately from their bucket; they move by the same rules.
 ///
 /// @code
 /// bucket_owners owners(timing);
 /// owners.SetTargets({{"t1", "t2"}}, now);
-/// owners.Want(7, 1);
-/// owners.Step(now, acting_until, is_running, step);  // send step.orders
+/// owners.SetDesiredOwner(7, 1);
+/// owners.Step(now, acting_until, is_running, step);  // send step.grants
 /// owners.OnAck(1, seq, clock_us, now);
 /// @endcode
 class bucket_owners {
  public:
   explicit bucket_owners(lease_timing timing) : timing_(timing) {}
 
-  /// Starts a tenure of the steward with nothing owned.
+  /// Starts a new term of the steward, in which no bucket is owned yet.
   void Begin(int bucket_count);
 
-  /// States that a target may still hold a bucket under a lease that a former
-  /// steward gave; used when that steward handed over before it lapsed.
+  /// Records that a target may still hold a bucket under a lease granted by
+  /// the former steward. Used when that steward handed the range over before
+  /// its own authority expired.
   void Inherit(int bucket, int target, time_point now);
 
-  /// Replaces the list of targets; those that stay keep their state and their
+  /// Replaces the list of targets. Targets that remain keep their state and
   /// index. Returns the index of each name.
   std::vector<int> SetTargets(std::span<const std::string> names);
 
   /// Sets the target that should own the bucket, -1 for none.
   void Want(int bucket, int target);
 
-  /// Adds room for one more single key and returns its index.
+  /// Adds an entry for one more separately owned key and returns its index.
   int AddKeySlot();
 
-  /// Moves everything on that is due. `acting_until` is the end of this
-  /// host's authority, which no lease outlasts. `is_running` tells whether a
-  /// request of the bucket is at its target.
+  /// Advances all transfers and renewals that are due. `acting_until` is the
+  /// end of this host's authority; no lease lasts longer. `is_running` returns
+  /// whether a request of the bucket is running at its target.
   void Step(time_point now, time_point acting_until,
             const std::function<bool(int bucket)>& is_running,
             ownership_step& out);
 
-  /// The target confirmed the order `seq`; `clock_us` is its clock's reading.
+  /// Handles the target's confirmation of the grant `seq`; `clock_us` is the
+  /// reading of the target's clock.
   void OnAck(int target, uint64_t seq, int64_t clock_us, time_point now);
 
-  /// The target refused the order because it knows a higher epoch or seq. A
-  /// seq that is too low is skipped over.
+  /// Handles a refusal: the target has seen a higher epoch or sequence number.
+  /// Later grants continue above `seen_seq`.
   void OnRefused(int target, uint64_t seen_seq, int64_t clock_us,
                  time_point now);
 
-  /// The order `seq` got no answer.
+  /// Handles the failure of the grant `seq`: no answer arrived.
   void OnFailed(int target, uint64_t seq);
 
-  /// Returns the serving target of the bucket, -1 if none.
+  /// Returns the target that serves the bucket now, -1 if none.
   int Owner(int bucket) const { return buckets_[bucket].owner; }
-  /// Returns the target that may believe it owns the bucket, -1 if none.
+  /// Returns the target that may hold a lease on the bucket, -1 if none. It is
+  /// also set while the bucket is being granted or revoked.
   int Holder(int bucket) const { return buckets_[bucket].holder; }
+  /// Returns the target that should own the bucket, -1 if none.
   int Wanted(int bucket) const { return buckets_[bucket].wanted; }
+  /// Returns the number of buckets and separately owned keys.
   int size() const { return static_cast<int>(buckets_.size()); }
 
   /// True while the target is certain to hold a valid lease.
   bool Leased(int target, time_point now) const;
-  /// Returns the time until which no other target can become owner of what
-  /// the target holds.
+  /// Returns the time by which every lease of the target has certainly
+  /// expired. Without its confirmation, no other target can own what it holds
+  /// earlier than that.
   time_point LeaseBound(int target) const {
     return targets_[target].lease_bound;
   }
-  /// True when the target answered lately.
+  /// True when the target answered within twice the answer timeout.
   bool Answering(int target, time_point now) const;
-  /// Returns the target's clock reading now, never ahead of the true one.
+  /// Estimates the target's clock at `now`. The estimate is never ahead of
+  /// the true reading; nullopt before the first reading.
   std::optional<int64_t> TargetClock(int target, time_point now) const;
 
-  /// Grows with each change of an owner.
+  /// Returns the number of changes of serving targets so far.
   uint64_t changes() const { return changes_; }
 
  private:
+  /// A reading of a target's clock, with the times on this host's clock
+  /// between which the target took it.
   struct reading {
     int64_t clock_us = 0;
     time_point asked_at{};
@@ -140,24 +151,24 @@
   };
   struct target_state {
     std::string name;
-    bool listed = true;
-    uint64_t seq = 0;
-    bool dirty = true;    ///< What it should hold is not yet confirmed.
-    bool failed = false;  ///< The last order got no answer.
-    bool idle = false;    ///< The last order granted nothing.
+    bool listed = true;   ///< In the list given last.
+    uint64_t seq = 0;     ///< Of the last grant.
+    bool dirty = true;    ///< The set of buckets is not yet confirmed.
+    bool failed = false;  ///< The last grant got no answer.
+    bool idle = false;    ///< The last grant named no buckets.
     std::optional<sent_order> pending;
     std::optional<reading> echo;
     time_point last_sent{};
     time_point last_reply{};
     bool replied = false;
-    time_point lease_until{};  ///< Certainly valid before.
-    time_point lease_bound{};  ///< Certainly over from here on.
+    time_point lease_until{};  ///< The lease is certainly valid before.
+    time_point lease_bound{};  ///< The lease has certainly expired from here.
   };
   struct bucket_state {
-    int owner = -1;
-    int holder = -1;
-    int wanted = -1;
-    bool revoking = false;
+    int owner = -1;         ///< The target that serves it.
+    int holder = -1;        ///< The target that may hold a lease on it.
+    int wanted = -1;        ///< The target that should own it.
+    bool revoking = false;  ///< Left out of grants until the holder confirms.
   };
 
   void StepBucket(int bucket, time_point now,
--- a/include/foxtailspread/range.h
+++ b/include/foxtailspread/range.h
@@ -2,14 +2,15 @@
 #define FOXTAILSPREAD_RANGE_H_
 
 /// @file
-/// Ranges and the platform object that says who may be steward of each.
+/// Ranges, and the platform object that names the hosts that may be steward of
+/// each.
 ///
 /// A range is the part of one service that one availability zone serves: the
 /// service's targets in that zone and, for keyed services, the buckets homed
 /// there. One entry host at a time, the *steward*, dispatches every request
 /// of the range. The platform's object `ranges/NAME` lists the few hosts that
-/// may be steward, in order of succession; it changes by conditional update
-/// only. See docs/design/ownership.md.
+/// may be steward, the *roster*, in order of succession. It is written by
+/// conditional update only. See docs/design/ownership.md.
 
 #include <compare>
 #include <cstddef>
@@ -23,14 +24,14 @@
 
 namespace foxtailspread {
 
-/// The most hosts that a roster names. Three tolerate the loss of one.
+/// Maximum number of hosts in a roster. Three tolerate the loss of one.
 inline constexpr size_t kRosterSize = 3;
 
-/// The prefix of the platform's keys of range records.
+/// Prefix of the platform keys under which range records are stored.
 inline constexpr std::string_view kRangeKeyPrefix = "ranges/";
 
-/// One life of one entry host. A host that restarts has lost its memory of
-/// what it promised, so it counts as another member.
+/// One run of one entry host, from its start to its end. A host that restarts
+/// has lost the promises that it gave, so it counts as a different member.
 struct member {
   std::string host;
   uint64_t life = 0;  ///< Differs between any two starts of the host.
@@ -40,7 +41,7 @@
   auto operator<=>(const member&) const = default;
 };
 
-/// A member with the epoch in which it alone may be steward.
+/// A member and its epoch, in which no other member may be steward.
 struct roster_slot {
   member who;
   uint64_t epoch = 0;
@@ -48,7 +49,7 @@
   bool operator==(const roster_slot&) const = default;
 };
 
-/// A key that is owned apart from its bucket.
+/// A key that is owned separately from its bucket.
 struct key_owner {
   uint64_t key_hash = 0;
   std::string target;
@@ -56,11 +57,11 @@
   bool operator==(const key_owner&) const = default;
 };
 
-/// Which target owns which buckets, as last recorded.
+/// The assignment of buckets and single keys to targets.
 struct range_map {
   uint64_t epoch = 0;  ///< The steward's epoch when it was written.
-  uint64_t seq = 0;    ///< Grows with each change within the epoch.
-  std::map<std::string, std::vector<int>> buckets;  ///< By target.
+  uint64_t seq = 0;    ///< Increases with each change within the epoch.
+  std::map<std::string, std::vector<int>> buckets;  ///< By target name.
   std::vector<key_owner> keys;
 
   bool operator==(const range_map&) const = default;
@@ -71,32 +72,34 @@
 
 /// The value of the platform object `ranges/NAME`.
 struct range_record {
-  uint64_t revision = 0;  ///< The platform's; not part of the text.
-  /// The roster in order of succession; epochs ascend.
+  uint64_t revision = 0;  ///< Assigned by the platform; not in the JSON text.
+  /// The roster in order of succession, with ascending epochs.
   std::vector<roster_slot> order;
-  /// The former roster while a change of membership is under way. Authority
-  /// then needs a majority of both.
+  /// The former roster while a change of members is in progress, else empty.
+  /// Authority then needs a majority of both rosters.
   std::vector<member> previous;
   /// Hosts that an operator declared dead since the last reset.
   std::vector<std::string> declared_dead;
-  uint64_t next_epoch = 1;  ///< The next epoch never yet given out.
-  /// Grows when the roster was replaced without its majority, because that
-  /// was known to be dead. Claims then wait out the longest promise.
+  uint64_t next_epoch = 1;  ///< The lowest epoch not assigned so far.
+  /// Increases when the roster is replaced without the consent of its majority,
+  /// because that is known to be dead. A claim after a reset first waits for
+  /// the longest promise to expire.
   uint64_t resets = 0;
-  std::string
-      mark;  ///< Names the write, to recognise it if its answer is lost.
+  /// Identifies the write, so that the writer recognises it if the platform's
+  /// answer is lost.
+  std::string mark;
   range_map map;
 
-  /// Returns the position of `who` in the order, or -1.
+  /// Returns the position of the member in the roster, or -1.
   int IndexOf(const member& who) const;
-  /// Returns the members of the order without their epochs.
+  /// Returns the members of the roster without their epochs.
   std::vector<member> Members() const;
 };
 
 /// Returns "SERVICE@ZONE".
 std::string RangeName(std::string_view service, std::string_view zone);
 
-/// The two parts of a range's name.
+/// The parts of a range's name.
 struct range_parts {
   std::string_view service;
   std::string_view zone;
@@ -105,11 +108,11 @@
 /// Splits a range's name; the views live as long as `name`.
 result<range_parts> ParseRangeName(std::string_view name);
 
-/// Parses a record written by FormatRangeRecord. An error leaves the reader
-/// to keep the last good record.
+/// Parses a record written by FormatRangeRecord. On an error, the caller keeps
+/// the last valid record.
 result<range_record> ParseRangeRecord(std::string_view text);
 
-/// Writes the record as JSON text, without its revision.
+/// Formats the record as JSON text, without its revision.
 std::string FormatRangeRecord(const range_record& record);
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/range_balance.h
+++ b/include/foxtailspread/range_balance.h
@@ -3,7 +3,7 @@
 
 /// @file
 /// Measures the load of a range's buckets and hottest keys at its steward and
-/// plans which target should own them.
+/// plans which target should own each.
 
 #include <cstdint>
 #include <span>
@@ -15,44 +15,45 @@
 
 namespace foxtailspread {
 
-/// One key that is owned apart from its bucket.
+/// One key that is owned separately from its bucket.
 struct placed_key {
   uint64_t key_hash = 0;
   int bucket = 0;
   target_index owner = kNoTarget;
 };
 
-/// What a plan starts from, beside the measured load.
+/// The input of a plan other than the measured load.
 struct balance_state {
-  std::span<const int> buckets;          ///< Homed in the range, ascending.
+  std::span<const int> buckets;          ///< Those of the range, ascending.
   std::span<const target_index> owners;  ///< One for each of `buckets`.
   std::span<const placement_target> targets;
-  std::span<const placed_key> keys;
+  std::span<const placed_key> keys;  ///< Owned separately now.
   double balance_weight = 0.5;
   bool allow_rebalance = true;
 };
 
-/// The load of one range, decaying, in memory that the number of keys does
-/// not grow.
+/// The exponentially decaying load of one range. Its memory does not depend on
+/// the number of keys.
 class range_balance {
  public:
-  /// Load halves in this time: long enough to be no noise, short enough that
-  /// the hottest keys of the last minutes are the hot ones.
+  /// Time in which the load decays to half: long enough to average out noise,
+  /// short enough that the hottest keys are those of the last minutes.
   static constexpr duration kHalfLife{std::chrono::seconds{10}};
-  /// How often balance is looked at.
+  /// Interval between plans.
   static constexpr duration kPeriod{std::chrono::seconds{1}};
-  /// Keys that one range owns apart from their buckets.
+  /// Maximum number of keys that a range places separately from their buckets.
   static constexpr size_t kMaxKeys = 19;
 
   explicit range_balance(int buckets);
 
-  /// Counts one request.
+  /// Counts one request for the bucket and key.
   void Record(int bucket, uint64_t key_hash);
 
-  /// Returns true once each period, and lets the load decay then.
+  /// Returns true once per plan period and decays the load at that time.
   bool Due(time_point now);
 
-  /// Plans moves; `bucket` of each is a bucket's number, not its position.
+  /// Plans moves. Their `bucket` is the number of the bucket in the service,
+  /// not its position in `state.buckets`.
   std::vector<placement_move> Plan(const balance_state& state) const;
 
  private:
--- a/include/foxtailspread/roster_policy.h
+++ b/include/foxtailspread/roster_policy.h
@@ -2,14 +2,15 @@
 #define FOXTAILSPREAD_ROSTER_POLICY_H_
 
 /// @file
-/// How a range's roster is first made, repaired and reset. Pure functions
-/// from what is known to the record that should be written; the platform's
-/// conditional update decides between racing writers.
+/// Creates, repairs and resets the roster of a range: the few hosts that may be
+/// its steward. Pure functions compute the record to write from the known
+/// facts; the platform's conditional update decides between concurrent writers.
 ///
-/// One member changes at a time, and authority needs a majority of the former
-/// and the new roster until every remaining member knows the change. With one
-/// change at a time any majority of the former roster contains a member that
-/// stays; once all of those know, an outdated claim finds no majority.
+/// One member changes at a time. Until every remaining member knows the change,
+/// authority needs a majority of both the former and the new roster. As only
+/// one member changes, any majority of the former roster contains a member that
+/// remains; once all of those know the change, a claim under the former roster
+/// finds no majority.
 
 #include <functional>
 #include <optional>
@@ -22,44 +23,48 @@
 
 namespace foxtailspread {
 
-/// What the writer of a record knows of the zone's hosts.
+/// What the writer of a record knows about the hosts of the zone.
 struct roster_facts {
   member self;
-  /// The hosts of the zone that may join a roster now, with their lives.
+  /// The hosts of the zone that may join a roster now, in their current run.
   std::vector<member> candidates;
-  /// Returns the newest known life of a host, 0 if unknown.
+  /// Returns the number (`member::life`) of the newest known run of a host, 0
+  /// if unknown.
   std::function<uint64_t(const std::string&)> latest_life;
-  /// Returns whether the member has been silent for long or is leaving.
+  /// Returns whether the member is leaving or has not been heard from for the
+  /// peer timeout.
   std::function<bool(const member&)> gone;
-  /// Every member of the record's order is known to have seen it.
+  /// Every member of the record's roster is known to have seen the record.
   bool all_saw_record = false;
-  /// A witness refuses this steward's epoch because it once claimed a higher
-  /// one in vain; new epochs win it back.
+  /// A member refuses its promise for this steward's epoch because it has
+  /// promised a higher one. Only a record with new epochs regains its promise.
   bool outranked = false;
 };
 
-/// Returns the first record of a range, or nullopt without candidates.
-/// `offset` rotates the order, so that the ranges of a zone start out spread
-/// over its hosts.
+/// Returns the initial record of a range, or nullopt without candidates.
+/// `offset` rotates the candidates, so that the ranges of a zone are initially
+/// spread over its hosts.
 std::optional<range_record> FirstRecord(std::span<const member> candidates,
                                         size_t offset);
 
-/// Returns the change of the roster that the acting steward should write, or
-/// nullopt when the record is as it should be. The steward keeps its epoch
-/// unless it is outranked.
+/// Returns the record with the next change of the roster that the acting
+/// steward should write, or nullopt if no change is due. The steward keeps its
+/// epoch unless it is outranked.
 std::optional<range_record> RepairedRecord(const range_record& record,
                                            const roster_facts& facts);
 
-/// Returns the record that gives this member and the others new epochs. It is
-/// due when the highest promised epoch belongs to a member that died before
-/// it acted: the witnesses then refuse every epoch that is left.
+/// Returns the record that gives this member, moved to the front, and all
+/// others new epochs. It is needed when the highest promised epoch belongs to a
+/// member that died before it acted: the other members then refuse all epochs
+/// that remain. Returns nullopt if this host is not a member.
 std::optional<range_record> RenumberedRecord(const range_record& record,
                                              const roster_facts& facts);
 
-/// Returns the record that replaces a roster whose majority is certainly
-/// dead: restarted under the same name, or declared dead by an operator. No
-/// one can act on the former roster any more; what its dead members promised
-/// is waited out by whoever claims under the new record (`resets` grows).
+/// Returns the record that replaces a roster whose majority is certainly dead:
+/// restarted under the same name, or declared dead by an operator. The former
+/// roster can no longer give authority to anyone. Because `reset_count` grows,
+/// a host that claims under the new record first waits until promises of the
+/// dead members have expired. Returns nullopt if no majority is dead.
 std::optional<range_record> ResetRecord(const range_record& record,
                                         const roster_facts& facts);
 
--- a/include/foxtailspread/target_table.h
+++ b/include/foxtailspread/target_table.h
@@ -3,9 +3,9 @@
 
 /// @file
 /// The targets of one range as their steward sees them: slots in use, ramp-up
-/// after a start, failures, ejection and silence. Only what live requests
-/// show counts here; the targets' own health and load endpoints lag and
-/// mislead.
+/// after a start, failures, ejection and silence. Only the results of live
+/// requests count here, because the targets' own health and load endpoints lag
+/// and can be wrong.
 
 #include <array>
 #include <boost/intrusive/list.hpp>
@@ -22,20 +22,20 @@
 
 namespace foxtailspread {
 
-/// Whether a target may get new work, as said from outside the dispatcher.
+/// Whether a target may get new requests, as set by the dispatcher's caller.
 enum class target_usability {
   kUsable,
-  kDraining,  ///< Finishes what runs, gets nothing new.
-  kDown,      ///< Known to be lost; what runs there is rescued if repeatable.
+  kDraining,  ///< Finishes running requests and gets no new ones.
+  kDown,      ///< Known to be lost; its repeatable requests run elsewhere.
 };
 
 /// One attempt that has not ended yet. It holds its slot until AttemptEnded,
-/// also when its request has its final answer already.
+/// even if its request has already got its final answer.
 struct running_attempt {
   boost::intrusive::list_member_hook<> hook;
-  live_request* request = nullptr;  ///< nullptr: the request ended before.
+  live_request* request = nullptr;  ///< nullptr if the request has ended.
   target_index target = kNoTarget;
-  uint32_t serial = 0;  ///< Tells a reused entry from the former one.
+  uint32_t serial = 0;  ///< Differs between uses of the same entry.
   uint32_t index = 0;
   time_point started;
   uint64_t content_hash = 0;
@@ -49,14 +49,14 @@
                          running_attempt, boost::intrusive::list_member_hook<>,
                          &running_attempt::hook>>;
 
-/// What a picker sees of one target.
+/// The load of one target, as given to a picker.
 struct target_load {
   int32_t running = 0;
-  int32_t allowance = 0;  ///< Requests that it may run now, 0 to its slots.
-  uint64_t served = 0;    ///< Starts so far; breaks ties.
+  int32_t allowance = 0;  ///< Maximum of `running` now, 0 to its slots.
+  uint64_t served = 0;    ///< Attempts started so far; breaks ties.
 };
 
-/// Chooses a target with a free slot other than `avoid`; kNoTarget if there
+/// Chooses a target with a free slot other than `excluded`; kNoTarget if there
 /// is none.
 template <typename picker>
 concept target_picker = requires(picker p, std::span<const target_load> loads,
@@ -64,13 +64,14 @@
   { p.Pick(loads, avoid) } -> std::same_as<target_index>;
 };
 
-/// Chooses the lowest part of the allowance in use, then the fewest starts.
-/// A target that ramps up has a small allowance and so gets little.
+/// Chooses the target with the lowest used fraction of its allowance and, among
+/// equals, the fewest starts. A target that ramps up has a small allowance and
+/// so gets few requests.
 struct least_loaded_picker {
   target_index Pick(std::span<const target_load> loads, target_index avoid);
 };
 
-/// Contents that ran when a target's connection last broke.
+/// The request contents that ran when a target's connections last broke.
 struct break_record {
   static constexpr int kMostContents = 8;
   time_point at;
@@ -86,13 +87,14 @@
   int slots = 0;
   int ramp = 1;            ///< Allowance reached since the target came up.
   int ramp_successes = 0;  ///< Answers since the last step of the ramp.
-  int failures = 0;        ///< In a row.
-  int ejections = 0;       ///< In a row; each lasts longer.
+  int failures = 0;        ///< Since the last answer.
+  int ejections = 0;       ///< Since the last answer; each lasts longer.
   bool ejected = false;
   bool probation = false;  ///< One request at a time until one succeeds.
-  bool suspected = false;
+  bool suspected =
+      false;            ///< Reported as probably lost since it last answered.
   bool rescue = false;  ///< Its repeatable requests are to run elsewhere.
-  time_point gate;      ///< No starts before.
+  time_point gate;      ///< No starts before this time.
   time_point last_answer;
   int archive_running = 0;
   service_estimator service;
@@ -101,28 +103,41 @@
   fair_queue queue;       ///< Used by keyed services only.
 };
 
-/// The targets of one range. Entries never move; an entry is used for another
-/// target only when the former one has left and nothing runs there.
+/// The targets of one range. Entries keep their address. An entry is reused for
+/// another target only when the former one has left the list and neither runs
+/// nor queues any request.
 class target_table {
  public:
+  /// Answers after which the allowance of a target grows by one.
   static constexpr int kRampSuccesses = 4;
+  /// Consecutive failures that make a target suspected and eject it if pooled.
   static constexpr int kFailuresToEject = 3;
+  /// The same for suspicion when the last failure was a refusal to start the
+  /// request.
   static constexpr int kRefusalsToSuspect = 6;
+  /// At most one in this many usable targets is ejected, but at least one.
   static constexpr int kMostEjectedDivisor = 3;
+  /// Ejections double in length from the first to the longest.
   static constexpr duration kFirstEjection{std::chrono::milliseconds{250}};
   static constexpr duration kLongestEjection{std::chrono::seconds{10}};
+  /// Pauses of a failing target that is not ejected double likewise.
   static constexpr duration kFirstGate{std::chrono::milliseconds{10}};
   static constexpr duration kLongestGate{std::chrono::milliseconds{250}};
+  /// Bounds of the silence after which a target counts as frozen.
   static constexpr duration kLeastSilence{std::chrono::milliseconds{50}};
   static constexpr duration kMostSilence{std::chrono::seconds{2}};
+  /// The same while no service time has been measured yet.
   static constexpr duration kUnmeasuredSilence{std::chrono::milliseconds{250}};
+  /// Pause of a target that was found silent.
   static constexpr duration kFrozenGate{std::chrono::seconds{2}};
-  /// Breaks of one target within this time count as its loss.
+  /// If several connections of a target break within this time of each other,
+  /// the target counts as lost.
   static constexpr duration kBreakWindow{std::chrono::milliseconds{50}};
 
   explicit target_table(placement_kind placement) : placement_(placement) {}
 
-  /// Replaces the list; targets of the same name keep their state and index.
+  /// Replaces the list of targets. Those that remain, by name, keep their state
+  /// and index.
   void Set(std::span<const target_config> targets, int slots);
   /// Returns the index of the target in the current list, or kNoTarget.
   target_index Find(std::string_view name) const;
@@ -142,30 +157,34 @@
   }
   /// Returns whether any target may run one more request now.
   bool AnyFree() const { return free_count_ > 0; }
-  /// Returns whether the target is in the list and not said to be unusable.
+  /// Returns whether the target is in the list and set to be usable.
   bool Usable(target_index index) const;
   int UsableCount() const { return usable_count_; }
   /// Returns the slots of all usable targets.
   int UsableSlots() const { return usable_slots_; }
   int ArchiveRunning() const { return archive_running_; }
   bool AnyRunning() const { return running_ > 0; }
+  /// Returns the service times of all targets together.
   const service_estimator& Service() const { return service_; }
 
-  /// Counts a start and its end; between them the slot is in use.
+  /// Counts the start of an attempt, which occupies a slot.
   void Started(running_attempt& attempt, time_point now);
+  /// Counts the end of an attempt and frees its slot.
   void Released(running_attempt& attempt);
-  /// Counts an answer: failures in a row end, the ramp goes on.
+  /// Counts an answer: resets the failures and continues the ramp-up.
   void Answered(const running_attempt& attempt, time_point now);
   /// Counts a failure. Returns whether the target became suspected.
   bool Failed(target_index index, attempt_end end, time_point now);
-  /// Records a break; returns whether it looks like the target's loss.
+  /// Records a broken connection. Returns whether the target is probably lost:
+  /// nothing else runs there, or another connection broke just before.
   bool Broke(const running_attempt& attempt, time_point now);
-  /// Marks the target lost. Returns whether it was not suspected before.
+  /// Marks the target as probably lost and pauses it. Returns whether it was
+  /// not suspected before.
   bool Suspect(target_index index, time_point now, duration gate);
-  /// Returns whether the target has been silent for too long while it had
-  /// something to answer.
+  /// Returns whether the target has given no answer for too long while it had
+  /// requests to answer.
   bool IsSilent(target_index index, time_point now) const;
-  /// Recomputes allowances that depend on the time.
+  /// Recomputes the allowances, which depend on the time.
   void Refresh(time_point now);
 
  private:
--- a/src/core/bucket_homes.cc
+++ b/src/core/bucket_homes.cc
@@ -7,32 +7,32 @@
 namespace foxtailspread {
 
 std::vector<std::string> HomeZones(const service_config& service) {
-  std::map<std::string_view, int> targets;
+  std::map<std::string_view, int> target_counts;
   for (const target_config& target : service.targets) {
-    ++targets[target.zone];
+    ++target_counts[target.zone];
   }
   std::vector<zone_weight> zones;
-  zones.reserve(targets.size());
-  for (const auto& [zone, count] : targets) {
+  zones.reserve(target_counts.size());
+  for (const auto& [zone, count] : target_counts) {
     zones.push_back(zone_weight{zone, count});
   }
-  std::vector<std::string> homes;
+  std::vector<std::string> home_zones;
   if (zones.empty()) {
-    return homes;
+    return home_zones;
   }
-  homes.reserve(service.buckets);
+  home_zones.reserve(service.buckets);
   for (const int zone : AssignZones(service.buckets, zones)) {
-    homes.emplace_back(zones[zone].zone);
+    home_zones.emplace_back(zones[zone].zone);
   }
-  return homes;
+  return home_zones;
 }
 
 std::vector<int> BucketsOfZone(const service_config& service,
                                std::string_view zone) {
-  const std::vector<std::string> homes = HomeZones(service);
+  const std::vector<std::string> home_zones = HomeZones(service);
   std::vector<int> buckets;
-  for (size_t bucket = 0; bucket < homes.size(); ++bucket) {
-    if (homes[bucket] == zone) {
+  for (size_t bucket = 0; bucket < home_zones.size(); ++bucket) {
+    if (home_zones[bucket] == zone) {
       buckets.push_back(static_cast<int>(bucket));
     }
   }
--- a/src/core/bucket_owners.cc
+++ b/src/core/bucket_owners.cc
@@ -5,8 +5,10 @@
 namespace foxtailspread {
 namespace {
 
-/// The longest that a lease of `validity` can last on a slow clock.
-constexpr duration GranterBound(duration validity) {
+/// Returns the longest time on the granter's clock for which a lease of
+/// `validity` can last when the holder's clock runs slower by the assumed
+/// drift.
+constexpr duration MaxLeaseDuration(duration validity) {
   return validity + validity / kClockDriftDivisor + duration{1};
 }
 
@@ -28,7 +30,7 @@
   buckets_[bucket].wanted = target;
   target_state& state = targets_[target];
   state.lease_bound =
-      std::max(state.lease_bound, now + GranterBound(timing_.lease));
+      std::max(state.lease_bound, now + MaxLeaseDuration(timing_.lease));
 }
 
 std::vector<int> bucket_owners::SetTargets(std::span<const std::string> names) {
@@ -94,7 +96,8 @@
   }
   if (state.holder >= 0 && state.wanted != state.holder) {
     SetOwner(bucket, -1, out);
-    // What runs for the bucket may finish first: the lease still covers it.
+    // Requests that run for the bucket may finish before it is revoked: the
+    // lease still covers them.
     if (!state.revoking && !is_running(bucket)) {
       state.revoking = true;
       targets_[state.holder].dirty = true;
@@ -141,32 +144,34 @@
 grant_order bucket_owners::MakeOrder(int index, time_point now,
                                      time_point acting_until) {
   target_state& target = targets_[index];
-  sent_order order;
-  order.seq = ++target.seq;
-  order.sent_at = now;
-  order.echo = target.echo;
-  if (order.echo) {
-    // Without a reading there is no lease, and buckets without one must not be
-    // named: delivered late, they would join a lease given since.
-    order.buckets = GrantedTo(index);
-    // The target took its reading before `received_at`, so its lease ends no
-    // later than `received_at + lease` on this host's clock. Capped there, it
-    // cannot outlast the steward's authority.
-    const duration left = HolderShare(acting_until - order.echo->received_at);
-    order.lease = std::clamp(left, duration{0}, timing_.lease);
+  sent_order grant;
+  grant.seq = ++target.seq;
+  grant.sent_at = now;
+  grant.echo = target.echo;
+  if (grant.echo) {
+    // Without a clock reading there is no lease, and a grant without a lease
+    // must not name buckets: delivered late, it would add them to a lease that
+    // was granted in the meantime.
+    grant.buckets = GrantedTo(index);
+    // The target took the reading before `received_at`, so its lease ends no
+    // later than `received_at + lease` on this host's clock. Limiting that to
+    // the end of the steward's authority keeps the lease from outlasting it.
+    const duration authority_left =
+        HolderShare(acting_until - grant.echo->received_at);
+    grant.lease = std::clamp(authority_left, duration{0}, timing_.lease);
     target.lease_bound =
         std::max(target.lease_bound,
-                 order.echo->received_at + GranterBound(order.lease));
+                 grant.echo->received_at + MaxLeaseDuration(grant.lease));
   }
   target.last_sent = now;
   target.failed = false;
-  target.idle = order.buckets.empty();
-  // Cleared by the confirmation of this order; set again if what the target
-  // should hold changes meanwhile.
+  target.idle = grant.buckets.empty();
+  // Cleared when the target confirms this grant, unless the set of buckets
+  // that it should hold has changed by then.
   target.dirty = true;
-  target.pending = order;
-  return grant_order{index, order.seq, order.echo ? order.echo->clock_us : 0,
-                     order.lease.count(), order.buckets};
+  target.pending = grant;
+  return grant_order{index, grant.seq, grant.echo ? grant.echo->clock_us : 0,
+                     grant.lease.count(), grant.buckets};
 }
 
 std::vector<int> bucket_owners::GrantedTo(int target) const {
@@ -192,25 +197,26 @@
   if (!target.pending || target.pending->seq != seq) {
     return;
   }
-  const sent_order order = std::move(*target.pending);
+  const sent_order grant = std::move(*target.pending);
   target.pending.reset();
-  if (order.echo) {
+  if (grant.echo) {
     target.lease_until = std::max(
-        target.lease_until, order.echo->asked_at + HolderShare(order.lease));
+        target.lease_until, grant.echo->asked_at + HolderShare(grant.lease));
   }
-  TakeReading(target, clock_us, order.sent_at, now);
-  // The order replaced the whole set, so whatever is not in it was let go.
+  TakeReading(target, clock_us, grant.sent_at, now);
+  // A grant replaces the whole set, so the target has released every bucket
+  // that the confirmed grant does not name.
   for (bucket_state& state : buckets_) {
     if (state.holder == index && state.revoking) {
       const int bucket = static_cast<int>(&state - buckets_.data());
-      if (!std::binary_search(order.buckets.begin(), order.buckets.end(),
+      if (!std::binary_search(grant.buckets.begin(), grant.buckets.end(),
                               bucket)) {
         state.holder = -1;
         state.revoking = false;
       }
     }
   }
-  target.dirty = !order.echo || order.buckets != GrantedTo(index);
+  target.dirty = !grant.echo || grant.buckets != GrantedTo(index);
 }
 
 void bucket_owners::OnRefused(int index, uint64_t seen_seq, int64_t clock_us,
--- a/src/core/range.cc
+++ b/src/core/range.cc
@@ -8,13 +8,13 @@
 
 using json = nlohmann::json;
 
-constexpr int kRecordFormat = 1;
+constexpr int kRecordFormatVersion = 1;
 
 json ToJson(const member& who) {
   return json{{"host", who.host}, {"life", who.life}};
 }
 
-member MemberFrom(const json& value) {
+member MemberFromJson(const json& value) {
   return member{value.at("host").get<std::string>(),
                 value.at("life").get<uint64_t>()};
 }
@@ -30,7 +30,7 @@
               {"keys", keys}};
 }
 
-range_map MapFrom(const json& value) {
+range_map MapFromJson(const json& value) {
   range_map map;
   map.epoch = value.at("epoch").get<uint64_t>();
   map.seq = value.at("seq").get<uint64_t>();
@@ -43,43 +43,44 @@
   return map;
 }
 
-range_record RecordFrom(const json& value) {
+range_record RecordFromJson(const json& value) {
   range_record record;
   for (const json& slot : value.at("order")) {
     record.order.push_back(
-        roster_slot{MemberFrom(slot), slot.at("epoch").get<uint64_t>()});
+        roster_slot{MemberFromJson(slot), slot.at("epoch").get<uint64_t>()});
   }
   for (const json& who : value.at("previous")) {
-    record.previous.push_back(MemberFrom(who));
+    record.previous.push_back(MemberFromJson(who));
   }
   record.declared_dead =
       value.at("declared_dead").get<std::vector<std::string>>();
   record.next_epoch = value.at("next_epoch").get<uint64_t>();
   record.resets = value.at("resets").get<uint64_t>();
   record.mark = value.at("mark").get<std::string>();
-  record.map = MapFrom(value.at("map"));
+  record.map = MapFromJson(value.at("map"));
   return record;
 }
 
-error Malformed(std::string path, std::string reason) {
+error MalformedRecord(std::string path, std::string reason) {
   return error{error_code::kMalformed, std::move(path), std::move(reason),
-               "restore the object or remove it to have it made anew"};
+               "restore the object, or remove it to have it created again"};
 }
 
-/// Epochs that do not ascend would let a predecessor outrank its successor.
-status CheckOrder(const range_record& record) {
+/// Checks that the epochs ascend. Otherwise a member could outrank those that
+/// succeed it.
+status CheckEpochs(const range_record& record) {
   if (record.order.empty()) {
-    return Malformed("order", "the roster is empty");
+    return MalformedRecord("order", "the roster is empty");
   }
-  uint64_t last = 0;
+  uint64_t last_epoch = 0;
   for (const roster_slot& slot : record.order) {
-    if (slot.epoch <= last) {
-      return Malformed("order", "the epochs do not ascend");
+    if (slot.epoch <= last_epoch) {
+      return MalformedRecord("order", "the epochs are not in ascending order");
     }
-    last = slot.epoch;
+    last_epoch = slot.epoch;
   }
-  if (record.next_epoch <= last) {
-    return Malformed("next_epoch", "it was given out already");
+  if (record.next_epoch <= last_epoch) {
+    return MalformedRecord("next_epoch", "the next epoch is already assigned");
   }
   return OkStatus();
 }
@@ -116,33 +117,34 @@
 }
 
 result<range_parts> ParseRangeName(std::string_view name) {
-  const size_t at = name.find('@');
-  if (at == std::string_view::npos || at == 0 || at + 1 == name.size()) {
+  const size_t separator = name.find('@');
+  if (separator == std::string_view::npos || separator == 0 ||
+      separator + 1 == name.size()) {
     return error{error_code::kMalformed, std::string(name),
-                 "not the name of a range", "write SERVICE@ZONE"};
+                 "not a valid range name", "write SERVICE@ZONE"};
   }
-  return range_parts{name.substr(0, at), name.substr(at + 1)};
+  return range_parts{name.substr(0, separator), name.substr(separator + 1)};
 }
 
 result<range_record> ParseRangeRecord(std::string_view text) {
   const json value = json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (!value.is_object()) {
-    return Malformed("", "the range record is not a JSON object");
+    return MalformedRecord("", "the range record is not a JSON object");
   }
   try {
-    if (value.at("format").get<int>() > kRecordFormat) {
+    if (value.at("format").get<int>() > kRecordFormatVersion) {
       return error{error_code::kNewerFormat, "format",
                    "the record was written by a newer release",
                    "update this host"};
     }
-    range_record record = RecordFrom(value);
-    status checked = CheckOrder(record);
+    range_record record = RecordFromJson(value);
+    status checked = CheckEpochs(record);
     if (!checked) {
       return checked.error();
     }
     return record;
   } catch (const json::exception& e) {
-    return Malformed("", e.what());
+    return MalformedRecord("", e.what());
   }
 }
 
@@ -157,7 +159,7 @@
   for (const member& who : record.previous) {
     previous.push_back(ToJson(who));
   }
-  return json{{"format", kRecordFormat},
+  return json{{"format", kRecordFormatVersion},
               {"order", order},
               {"previous", previous},
               {"declared_dead", record.declared_dead},
--- a/src/core/range_balance.cc
+++ b/src/core/range_balance.cc
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr size_t kSketchCounters = 256;
-constexpr int kMostMoves = 8;
+constexpr int kMaxMoves = 8;
 
 double DecayFactor() {
   const auto period = static_cast<double>(range_balance::kPeriod.count());
-  const auto half = static_cast<double>(range_balance::kHalfLife.count());
-  return std::exp2(-period / half);
+  const auto half_life = static_cast<double>(range_balance::kHalfLife.count());
+  return std::exp2(-period / half_life);
 }
 
 }  // namespace
@@ -31,47 +31,47 @@
     return false;
   }
   next_ = now + kPeriod;
-  const double factor = DecayFactor();
+  const double decay_factor = DecayFactor();
   for (double& load : load_) {
-    load *= factor;
+    load *= decay_factor;
   }
-  hot_.Decay(factor);
+  hot_.Decay(decay_factor);
   return true;
 }
 
 std::vector<placement_move> range_balance::Plan(
     const balance_state& state) const {
   std::vector<double> loads;
-  std::unordered_map<int, int> position;
+  std::unordered_map<int, int> positions;
   loads.reserve(state.buckets.size());
   for (const int bucket : state.buckets) {
-    position[bucket] = static_cast<int>(loads.size());
+    positions[bucket] = static_cast<int>(loads.size());
     loads.push_back(load_[bucket]);
   }
   std::vector<hot_key> keys;
-  const auto add = [&](uint64_t key_hash, int bucket, double load,
-                       target_index owner) {
-    const auto found = position.find(bucket);
-    const bool known = std::any_of(
+  const auto add_key = [&](uint64_t key_hash, int bucket, double load,
+                           target_index owner) {
+    const auto bucket_position = positions.find(bucket);
+    const bool already_added = std::any_of(
         keys.begin(), keys.end(),
         [&](const hot_key& key) { return key.key_hash == key_hash; });
-    if (found != position.end() && !known) {
-      keys.push_back(hot_key{key_hash, found->second, load, owner});
+    if (bucket_position != positions.end() && !already_added) {
+      keys.push_back(hot_key{key_hash, bucket_position->second, load, owner});
     }
   };
-  const std::vector<frequent_key> top = hot_.Top(kMaxKeys);
+  const std::vector<frequent_key> top_keys = hot_.Top(kMaxKeys);
   for (const placed_key& placed : state.keys) {
-    const auto measured =
-        std::find_if(top.begin(), top.end(), [&](const frequent_key& key) {
-          return key.key_hash == placed.key_hash;
-        });
+    const auto measured = std::find_if(top_keys.begin(), top_keys.end(),
+                                       [&](const frequent_key& key) {
+                                         return key.key_hash == placed.key_hash;
+                                       });
     const double load =
-        measured == top.end() ? 0 : measured->count - measured->error;
-    add(placed.key_hash, placed.bucket, load, placed.owner);
+        measured == top_keys.end() ? 0 : measured->count - measured->error;
+    add_key(placed.key_hash, placed.bucket, load, placed.owner);
   }
-  for (const frequent_key& key : top) {
+  for (const frequent_key& key : top_keys) {
     if (keys.size() < kMaxKeys) {
-      add(key.key_hash, key.bucket, key.count - key.error, kNoTarget);
+      add_key(key.key_hash, key.bucket, key.count - key.error, kNoTarget);
     }
   }
   placement_input input;
@@ -80,7 +80,7 @@
   input.targets = state.targets;
   input.hot_keys = keys;
   input.balance_weight = state.balance_weight;
-  input.max_moves = kMostMoves;
+  input.max_moves = kMaxMoves;
   input.allow_rebalance = state.allow_rebalance;
   std::vector<placement_move> moves = PlanPlacement(input);
   for (placement_move& move : moves) {
--- a/src/core/range_table.cc
+++ b/src/core/range_table.cc
@@ -6,15 +6,15 @@
 namespace foxtailspread {
 namespace {
 
-/// Authority is given up this much early, so that what is decided on it is
-/// carried out within it.
+/// This host stops acting as steward this long before its authority expires,
+/// so that its last decisions are carried out while the authority still holds.
 constexpr duration kActingMargin{std::chrono::milliseconds{2}};
 
 }  // namespace
 
 void range_table::Configure(const deployment_config& config,
                             const target_notices& notices, time_point now) {
-  std::set<std::string> wanted;
+  std::set<std::string> configured;
   for (size_t s = 0; s < config.services.size(); ++s) {
     const service_config& service = config.services[s];
     std::set<std::string> zones;
@@ -23,29 +23,29 @@
     }
     for (const std::string& zone : zones) {
       const std::string name = RangeName(service.name, zone);
-      wanted.insert(name);
-      range_node& node = ranges_[name];
-      node.name = name;
-      node.service = service.name;
-      node.zone = zone;
-      node.offset = s;
+      configured.insert(name);
+      range_node& range = ranges_[name];
+      range.name = name;
+      range.service = service.name;
+      range.zone = zone;
+      range.offset = s;
       if (zone != context_.zone) {
         continue;
       }
-      if (node.steward == nullptr) {
-        node.first_wanted = now;
-        node.steward = std::make_unique<range_steward>(
+      if (range.steward == nullptr) {
+        range.first_wanted = now;
+        range.steward = std::make_unique<range_steward>(
             name, context_.timing.lease, context_.secret, context_.ids);
-        node.authority = std::make_unique<range_authority>(
+        range.authority = std::make_unique<range_authority>(
             name, context_.self, context_.timing.authority);
       }
-      node.steward->Configure(config, notices, now);
+      range.steward->Configure(config, notices, now);
     }
   }
   std::erase_if(ranges_, [&](const auto& entry) {
-    return !wanted.contains(entry.first);
+    return !configured.contains(entry.first);
   });
-  // Records may have been known before the configuration that wants them.
+  // Records may have arrived before the configuration of their ranges.
   context_.sync.cache().ForEach(kRangeKeyPrefix,
                                 [&](const object_change& change) {
                                   static_cast<void>(OnRecord(change, now));
@@ -59,17 +59,17 @@
 
 uint64_t range_table::FirstEpoch(std::string_view name) const {
   const auto found = ranges_.find(name);
-  const bool known = found != ranges_.end() && found->second.record;
-  return known ? found->second.record->order.front().epoch : 0;
+  const bool has_record = found != ranges_.end() && found->second.record;
+  return has_record ? found->second.record->order.front().epoch : 0;
 }
 
 status range_table::OnRecord(const object_change& change, time_point now) {
-  range_node* node =
+  range_node* range =
       Find(std::string_view(change.key).substr(kRangeKeyPrefix.size()));
-  if (node == nullptr || change.deleted) {
+  if (range == nullptr || change.deleted) {
     return OkStatus();
   }
-  if (node->record && node->record->revision >= change.revision) {
+  if (range->record && range->record->revision >= change.revision) {
     return OkStatus();
   }
   result<range_record> record = ParseRangeRecord(change.value);
@@ -78,31 +78,32 @@
     e.path = change.key + (e.path.empty() ? "" : "." + e.path);
     return e;
   }
-  node->record = std::move(record.value());
-  node->record->revision = change.revision;
-  node->next_record_check = now;
-  if (node->record->map.NewerThan(node->newest_map)) {
-    node->newest_map = node->record->map;
+  range->record = std::move(record.value());
+  range->record->revision = change.revision;
+  range->next_record_check = now;
+  if (range->record->map.NewerThan(range->newest_map)) {
+    range->newest_map = range->record->map;
   }
-  if (node->authority != nullptr) {
-    const uint64_t before = node->authority->epoch();
-    node->authority->SetRecord(*node->record, now);
-    // Nobody else can have acted between the two epochs of a steward that
-    // held the range when it was renumbered.
-    node->renumbered |= node->acting && before != node->authority->epoch();
+  if (range->authority != nullptr) {
+    const uint64_t old_epoch = range->authority->epoch();
+    range->authority->SetRecord(*range->record, now);
+    // If this host was the acting steward when the range got new epochs, no
+    // other host can have acted between its old epoch and the new one.
+    range->renumbered |=
+        range->acting && old_epoch != range->authority->epoch();
   }
   return OkStatus();
 }
 
 void range_table::Tick(time_point now, steward_output& out) {
-  for (auto& [name, node] : ranges_) {
-    if (node.authority == nullptr) {
+  for (auto& [name, range] : ranges_) {
+    if (range.authority == nullptr) {
       continue;
     }
-    TickAuthority(node, now, out);
-    TickRecord(node, now, out.actions);
-    TickMap(node, now);
-    TickPoison(node, now);
+    TickAuthority(range, now, out);
+    TickRecord(range, now, out.actions);
+    TickMap(range, now);
+    TickPoison(range, now);
   }
 }
 
@@ -113,8 +114,8 @@
   for (const addressed_ask& ask : asks) {
     context_.outbox[ask.to.host].asks.push_back(ask.ask);
   }
-  const time_point until = node.authority->ActingUntil() - kActingMargin;
-  const bool acting = now < until;
+  const time_point acting_until = node.authority->ActingUntil() - kActingMargin;
+  const bool acting = now < acting_until;
   if (acting && !node.acting) {
     node.acting_since = now;
     if (node.steward->epoch() == node.authority->epoch()) {
@@ -144,7 +145,7 @@
   }
   node.acting = acting;
   if (acting || node.steward->active()) {
-    node.steward->Step(now, until, out);
+    node.steward->Step(now, acting_until, out);
   }
 }
 
@@ -167,19 +168,20 @@
   }
 }
 
-// Content that crashed a target here may come in at another range of the
-// service next, or at this one's next steward. Unless all count together, it
-// takes two targets at each; the other stewards see lost targets only.
+// Request content that crashed a target here may next be sent to another range
+// of the service, or to the next steward of this range. Without shared counts
+// it would crash two targets at each of them, as the other stewards would only
+// see that targets were lost.
 void range_table::TickPoison(range_node& node, time_point now) {
   if (node.steward == nullptr) {
     return;
   }
-  const std::vector<poison_mark> news =
+  const std::vector<poison_mark> new_marks =
       node.steward->Dispatcher().TakePoisonNews(now);
-  if (news.empty()) {
+  if (new_marks.empty()) {
     return;
   }
-  ImportPoison(news, now);
+  ImportPoison(new_marks, now);
   std::set<std::string> hosts;
   for (const auto& [name, other] : ranges_) {
     if (other.service != node.service || !other.record) {
@@ -192,7 +194,7 @@
   hosts.erase(context_.self.host);
   for (const std::string& host : hosts) {
     std::vector<poison_mark>& marks = context_.outbox[host].poison;
-    marks.insert(marks.end(), news.begin(), news.end());
+    marks.insert(marks.end(), new_marks.begin(), new_marks.end());
   }
 }
 
@@ -202,10 +204,10 @@
   facts.self = context_.self;
   for (const std::string& name :
        context_.directory.HostsOfZone(context_.zone)) {
-    const bool own = name == context_.self.host;
-    if (own || context_.directory.Alive(name, now, silence / 2)) {
+    const bool is_self = name == context_.self.host;
+    if (is_self || context_.directory.Alive(name, now, silence / 2)) {
       const uint64_t life =
-          own ? context_.self.life : context_.directory.LatestLife(name);
+          is_self ? context_.self.life : context_.directory.LatestLife(name);
       facts.candidates.push_back(member{name, life});
     }
   }
@@ -218,9 +220,10 @@
     if (entry != nullptr && entry->leaving) {
       return true;
     }
-    const auto heard = node.authority->LastHeard(who);
-    const time_point since =
-        heard ? std::max(*heard, node.acting_since) : node.acting_since;
+    const auto last_heard = node.authority->LastHeard(who);
+    const time_point since = last_heard
+                                 ? std::max(*last_heard, node.acting_since)
+                                 : node.acting_since;
     return now >= since + silence &&
            !context_.directory.Alive(who.host, now, silence);
   };
@@ -231,8 +234,9 @@
 
 void range_table::TickRecord(range_node& node, time_point now,
                              action_list& out) {
-  // The answer follows from silences of a second and more. Working it out for
-  // every range at each tick cost more than all else that a tick does.
+  // The result depends on silences of a second and more, so it need not be
+  // computed in each tick. Doing so for every range cost more than the rest of
+  // the tick.
   if (now < node.next_record_check) {
     return;
   }
@@ -240,16 +244,17 @@
   if (!context_.sync.synced() || context_.directory.self().leaving) {
     return;
   }
-  const duration wait = context_.timing.first_record_wait +
-                        context_.timing.rank_stagger *
-                            static_cast<int>(context_.directory.OwnRank());
+  const duration write_delay =
+      context_.timing.first_record_wait +
+      context_.timing.rank_stagger *
+          static_cast<int>(context_.directory.OwnRank());
   if (!node.record) {
-    const auto* standing =
+    const auto* stored_object =
         context_.sync.cache().Find(std::string(kRangeKeyPrefix) + node.name);
-    if (standing == nullptr && now >= node.first_wanted + wait) {
+    if (stored_object == nullptr && now >= node.first_wanted + write_delay) {
       const roster_facts facts = Facts(node, now);
-      if (auto first = FirstRecord(facts.candidates, node.offset)) {
-        WriteRecord(node, std::move(*first), now, out);
+      if (auto initial = FirstRecord(facts.candidates, node.offset)) {
+        WriteRecord(node, std::move(*initial), now, out);
       }
     }
     return;
@@ -261,15 +266,15 @@
       WriteRecord(node, std::move(*repaired), now, out);
       return;
     }
-    const bool moved = node.steward->map() != node.record->map;
-    if (moved && now >= node.next_record_write) {
+    const bool map_changed = node.steward->map() != node.record->map;
+    if (map_changed && now >= node.next_record_write) {
       range_record next = *node.record;
       next.map = node.steward->map();
       WriteRecord(node, std::move(next), now, out);
     }
     return;
   }
-  if (now < node.first_wanted + wait) {
+  if (now < node.first_wanted + write_delay) {
     return;
   }
   if (auto reset = ResetRecord(*node.record, facts)) {
@@ -299,55 +304,55 @@
 
 void range_table::OnAnswer(const member& from, const promise_answer& answer,
                            time_point now) {
-  range_node* node = Find(answer.range);
-  if (node != nullptr && node->authority != nullptr) {
-    node->authority->OnAnswer(from, answer, now);
+  range_node* range = Find(answer.range);
+  if (range != nullptr && range->authority != nullptr) {
+    range->authority->OnAnswer(from, answer, now);
   }
 }
 
 void range_table::OnRelease(const member& from, const range_release& release) {
-  range_node* node = Find(release.range);
-  if (node == nullptr || node->authority == nullptr) {
+  range_node* range = Find(release.range);
+  if (range == nullptr || range->authority == nullptr) {
     return;
   }
-  // The former steward's leases may still run: what the targets hold is taken
-  // from its map, which came in the same message.
-  node->handed_over = true;
-  node->authority->ClaimAfter(from, release.epoch);
-  node->steward->ImportActions(release.actions);
+  // Leases granted by the former steward may still be valid. The map in the
+  // same message tells which buckets the targets hold.
+  range->handed_over = true;
+  range->authority->ClaimAfter(from, release.epoch);
+  range->steward->ImportActions(release.actions);
 }
 
 void range_table::OnMap(const range_map_notice& notice) {
-  range_node* node = Find(notice.range);
-  if (node != nullptr && notice.map.NewerThan(node->newest_map)) {
-    node->newest_map = notice.map;
+  range_node* range = Find(notice.range);
+  if (range != nullptr && notice.map.NewerThan(range->newest_map)) {
+    range->newest_map = notice.map;
   }
 }
 
 void range_table::OnGrant(const grant_ended& ended, time_point now,
                           steward_output& out) {
-  range_node* node = Find(ended.range);
-  if (node == nullptr || node->steward == nullptr) {
+  range_node* range = Find(ended.range);
+  if (range == nullptr || range->steward == nullptr) {
     return;
   }
-  if (!node->steward->OnGrant(ended, now)) {
-    // A target obeyed a later steward: this host's authority is a delusion,
-    // whatever its clock says.
-    node->authority->StepDown();
-    node->steward->Suspend(now, out);
-    node->acting = false;
+  if (!range->steward->OnGrant(ended, now)) {
+    // The target has accepted a grant from a later steward, so this host has
+    // lost its authority, whatever its clock says.
+    range->authority->StepDown();
+    range->steward->Suspend(now, out);
+    range->acting = false;
     return;
   }
-  if (node->acting) {
-    node->steward->Step(now, node->authority->ActingUntil() - kActingMargin,
-                        out);
+  if (range->acting) {
+    range->steward->Step(now, range->authority->ActingUntil() - kActingMargin,
+                         out);
   }
 }
 
 void range_table::OnAttempt(const attempt_ended& ended, time_point now,
                             steward_output& out) {
-  for (auto& [name, node] : ranges_) {
-    if (node.steward != nullptr && node.steward->OnAttempt(ended, now, out)) {
+  for (auto& [name, range] : ranges_) {
+    if (range.steward != nullptr && range.steward->OnAttempt(ended, now, out)) {
       return;
     }
   }
@@ -355,10 +360,10 @@
 
 std::vector<poison_mark> range_table::ExportPoison(time_point now) const {
   std::vector<poison_mark> marks;
-  for (const auto& [name, node] : ranges_) {
-    if (node.acting) {
-      const auto own = node.steward->Dispatcher().ExportPoison(now);
-      marks.insert(marks.end(), own.begin(), own.end());
+  for (const auto& [name, range] : ranges_) {
+    if (range.acting) {
+      const auto range_marks = range.steward->Dispatcher().ExportPoison(now);
+      marks.insert(marks.end(), range_marks.begin(), range_marks.end());
     }
   }
   return marks;
@@ -369,41 +374,41 @@
   if (marks.empty()) {
     return;
   }
-  for (auto& [name, node] : ranges_) {
-    if (node.steward != nullptr) {
-      node.steward->Dispatcher().ImportPoison(marks, now);
+  for (auto& [name, range] : ranges_) {
+    if (range.steward != nullptr) {
+      range.steward->Dispatcher().ImportPoison(marks, now);
     }
   }
 }
 
 void range_table::HandOver(time_point now, bool force, steward_output& out) {
-  for (auto& [name, node] : ranges_) {
-    if (!node.acting) {
+  for (auto& [name, range] : ranges_) {
+    if (!range.acting) {
       continue;
     }
-    if (node.steward->taking()) {
-      node.steward->StopTaking(now, out);
+    if (range.steward->taking()) {
+      range.steward->StopTaking(now, out);
     }
-    if (!node.steward->Quiet() && !force) {
+    if (!range.steward->Quiet() && !force) {
       continue;
     }
     std::string successor;
-    for (const roster_slot& slot : node.record->order) {
-      const bool other = slot.who.host != context_.self.host;
-      if (successor.empty() && other &&
+    for (const roster_slot& slot : range.record->order) {
+      const bool is_other_host = slot.who.host != context_.self.host;
+      if (successor.empty() && is_other_host &&
           context_.directory.Alive(slot.who.host, now,
                                    context_.timing.peer_silence / 2)) {
         successor = slot.who.host;
       }
     }
-    const range_release release{name, node.authority->epoch(),
-                                node.steward->ExportActions(now)};
-    node.authority->StepDown();
-    node.steward->Suspend(now, out);
-    node.acting = false;
+    const range_release release{name, range.authority->epoch(),
+                                range.steward->ExportActions(now)};
+    range.authority->StepDown();
+    range.steward->Suspend(now, out);
+    range.acting = false;
     if (!successor.empty()) {
       peer_message& message = context_.outbox[successor];
-      message.maps.push_back(range_map_notice{name, node.steward->HeldMap()});
+      message.maps.push_back(range_map_notice{name, range.steward->HeldMap()});
       message.releases.push_back(release);
     }
   }
--- a/src/core/roster_policy.cc
+++ b/src/core/roster_policy.cc
@@ -9,20 +9,21 @@
   return std::find(members.begin(), members.end(), who) != members.end();
 }
 
-bool NamesHost(const std::vector<member>& members, std::string_view host) {
+bool ContainsHost(const std::vector<member>& members, std::string_view host) {
   return std::any_of(members.begin(), members.end(),
                      [&](const member& m) { return m.host == host; });
 }
 
-bool Superseded(const member& who, const roster_facts& facts) {
+bool HasRestarted(const member& who, const roster_facts& facts) {
   return facts.latest_life(who.host) > who.life;
 }
 
-/// Returns the member that should leave, preferring one that certainly died.
+/// Returns the member that should be replaced: preferably one that has
+/// restarted since, otherwise one that is unavailable.
 std::optional<member> MemberToReplace(const std::vector<member>& members,
                                       const roster_facts& facts) {
   for (const member& who : members) {
-    if (who != facts.self && Superseded(who, facts)) {
+    if (who != facts.self && HasRestarted(who, facts)) {
       return who;
     }
   }
@@ -34,18 +35,18 @@
   return std::nullopt;
 }
 
-/// Returns a candidate that is not in the roster, the host named first if it
-/// is one.
+/// Returns the candidate on the host `preferred` if there is one, otherwise the
+/// first candidate whose host is not in the roster.
 std::optional<member> PickCandidate(const std::vector<member>& members,
                                     std::string_view preferred,
                                     const roster_facts& facts) {
   std::optional<member> picked;
   for (const member& candidate : facts.candidates) {
-    const bool replaces_itself = candidate.host == preferred;
-    if (NamesHost(members, candidate.host) && !replaces_itself) {
+    const bool is_preferred = candidate.host == preferred;
+    if (ContainsHost(members, candidate.host) && !is_preferred) {
       continue;
     }
-    if (replaces_itself) {
+    if (is_preferred) {
       return candidate;
     }
     if (!picked) {
@@ -55,25 +56,25 @@
   return picked;
 }
 
-/// Writes `members` as the order. Epochs that still ascend are kept, so that
-/// a steward's tenure goes on; others are new.
-void Renumber(const std::vector<member>& members, bool all_new,
-              range_record& record) {
-  const std::vector<roster_slot> before = std::move(record.order);
+/// Makes `members` the roster. Members keep their epochs where these still
+/// ascend, so that a steward's term continues; the others get new epochs.
+void AssignEpochs(const std::vector<member>& members, bool all_new,
+                  range_record& record) {
+  const std::vector<roster_slot> old_order = std::move(record.order);
   record.order.clear();
-  uint64_t last = 0;
+  uint64_t last_epoch = 0;
   for (const member& who : members) {
     uint64_t epoch = 0;
-    for (const roster_slot& slot : before) {
+    for (const roster_slot& slot : old_order) {
       if (slot.who == who) {
         epoch = slot.epoch;
       }
     }
-    if (all_new || epoch <= last) {
+    if (all_new || epoch <= last_epoch) {
       epoch = record.next_epoch++;
     }
     record.order.push_back(roster_slot{who, epoch});
-    last = epoch;
+    last_epoch = epoch;
   }
 }
 
@@ -84,9 +85,10 @@
 
 bool CertainlyDead(const member& who, const range_record& record,
                    const roster_facts& facts) {
-  const auto& declared = record.declared_dead;
-  return Superseded(who, facts) || std::find(declared.begin(), declared.end(),
-                                             who.host) != declared.end();
+  const auto& declared_dead = record.declared_dead;
+  return HasRestarted(who, facts) ||
+         std::find(declared_dead.begin(), declared_dead.end(), who.host) !=
+             declared_dead.end();
 }
 
 bool MajorityDead(const std::vector<member>& members,
@@ -128,25 +130,25 @@
   if (!Contains(members, facts.self)) {
     return std::nullopt;
   }
-  const std::vector<member> before = members;
+  const std::vector<member> old_members = members;
   MoveToFront(members, facts.self);
-  if (const auto leaver = MemberToReplace(members, facts)) {
-    const auto joiner = PickCandidate(members, leaver->host, facts);
-    if (joiner) {
-      std::erase(members, *leaver);
-      members.push_back(*joiner);
-      next.previous = before;
+  if (const auto leaving = MemberToReplace(members, facts)) {
+    const auto joining = PickCandidate(members, leaving->host, facts);
+    if (joining) {
+      std::erase(members, *leaving);
+      members.push_back(*joining);
+      next.previous = old_members;
     }
   } else if (members.size() < kRosterSize) {
-    if (const auto joiner = PickCandidate(members, "", facts)) {
-      members.push_back(*joiner);
-      next.previous = before;
+    if (const auto joining = PickCandidate(members, "", facts)) {
+      members.push_back(*joining);
+      next.previous = old_members;
     }
   }
-  if (members == before && !facts.outranked) {
+  if (members == old_members && !facts.outranked) {
     return std::nullopt;
   }
-  Renumber(members, facts.outranked, next);
+  AssignEpochs(members, facts.outranked, next);
   return next;
 }
 
@@ -158,7 +160,7 @@
   }
   MoveToFront(members, facts.self);
   range_record next = record;
-  Renumber(members, /*all_new=*/true, next);
+  AssignEpochs(members, /*all_new=*/true, next);
   return next;
 }
 
@@ -167,7 +169,8 @@
   const bool order_dead = MajorityDead(record.Members(), record, facts);
   const bool previous_dead =
       !record.previous.empty() && MajorityDead(record.previous, record, facts);
-  // Authority needs both rosters, so one that is dead blocks the range.
+  // Authority needs a majority of both rosters, so a dead majority in one of
+  // them blocks the range.
   if (!order_dead && !previous_dead) {
     return std::nullopt;
   }
@@ -180,14 +183,15 @@
     }
   }
   for (const member& candidate : facts.candidates) {
-    if (members.size() < kRosterSize && !NamesHost(members, candidate.host)) {
+    if (members.size() < kRosterSize &&
+        !ContainsHost(members, candidate.host)) {
       members.push_back(candidate);
     }
   }
   next.previous.clear();
   next.declared_dead.clear();
   next.resets += 1;
-  Renumber(members, /*all_new=*/true, next);
+  AssignEpochs(members, /*all_new=*/true, next);
   return next;
 }
 
--- a/src/core/target_table.cc
+++ b/src/core/target_table.cc
@@ -6,15 +6,17 @@
 
 namespace {
 
-/// Silence lasts this many times the longest measured service time.
+/// A target counts as silent after this multiple of the longest measured
+/// service time.
 constexpr int kSilenceFactor = 3;
-/// With no other target answering, the fault may be on this side.
-constexpr int kAloneFactor = 2;
-/// Doubling stops here, so that the shift cannot overflow.
-constexpr int kMostDoublings = 10;
+/// Extends the silence threshold while no other target answers either, because
+/// then the fault may be on this host's side.
+constexpr int kNoAnswersFactor = 2;
+/// Limits the number of doublings, so that the shift cannot overflow.
+constexpr int kMaxDoublings = 10;
 
-duration Doubled(duration first, int times, duration most) {
-  return std::min(first * (1 << std::min(times, kMostDoublings)), most);
+duration ExponentialBackoff(duration initial, int doublings, duration max) {
+  return std::min(initial * (1 << std::min(doublings, kMaxDoublings)), max);
 }
 
 }  // namespace
@@ -32,10 +34,12 @@
       best = index;
       continue;
     }
-    const target_load& least = loads[static_cast<size_t>(best)];
-    const int mine = load.running * least.allowance;
-    const int its = least.running * load.allowance;
-    if (mine < its || (mine == its && load.served < least.served)) {
+    const target_load& best_load = loads[static_cast<size_t>(best)];
+    // Compares the used fractions of both allowances without a division.
+    const int scaled = load.running * best_load.allowance;
+    const int best_scaled = best_load.running * load.allowance;
+    if (scaled < best_scaled ||
+        (scaled == best_scaled && load.served < best_load.served)) {
       best = index;
     }
   }
@@ -47,12 +51,12 @@
     target->present = false;
   }
   for (const target_config& config : targets) {
-    const auto stays =
+    const auto existing =
         std::find_if(targets_.begin(), targets_.end(),
                      [&](const auto& t) { return t->name == config.name; });
-    if (stays != targets_.end()) {
-      (*stays)->present = true;
-      (*stays)->slots = slots;
+    if (existing != targets_.end()) {
+      (*existing)->present = true;
+      (*existing)->slots = slots;
       continue;
     }
     auto unused =
@@ -72,14 +76,14 @@
     (*unused)->name = config.name;
     (*unused)->present = true;
     (*unused)->slots = slots;
-    // Starts count as the average so far: a newcomer at 0 would win every
-    // tie until it had caught up with hours of starts.
-    uint64_t served = 0;
+    // The count of starts begins at the average of all targets. From 0, a new
+    // target would win every tie until it had caught up with hours of starts.
+    uint64_t total_served = 0;
     for (const target_load& load : loads_) {
-      served += load.served;
+      total_served += load.served;
     }
-    const auto place = static_cast<size_t>(unused - targets_.begin());
-    loads_[place] = {.served = served / loads_.size()};
+    const auto position = static_cast<size_t>(unused - targets_.begin());
+    loads_[position] = {.served = total_served / loads_.size()};
   }
   CountUsable();
   for (size_t i = 0; i < targets_.size(); ++i) {
@@ -160,9 +164,9 @@
 
 void target_table::Answered(const running_attempt& attempt, time_point now) {
   target_state& target = At(attempt.target);
-  const duration took = now - attempt.started;
-  target.service.Add(took);
-  service_.Add(took);
+  const duration service_time = now - attempt.started;
+  target.service.Add(service_time);
+  service_.Add(service_time);
   target.last_answer = now;
   last_answer_ = now;
   target.failures = 0;
@@ -192,8 +196,9 @@
     Gate(target, now);
   }
   UpdateAllowance(index, now);
-  // A target that sheds now and then answers in between. One that sheds and
-  // never answers serves nobody, whatever its health endpoint says.
+  // A target that sheds load only at times answers other requests in between.
+  // One that refuses every request serves nobody, whatever its health endpoint
+  // reports.
   const bool lost =
       target.failures >= (shed ? kRefusalsToSuspect : kFailuresToEject);
   if (!lost || target.suspected) {
@@ -206,8 +211,9 @@
 bool target_table::Broke(const running_attempt& attempt, time_point now) {
   target_state& target = At(attempt.target);
   break_record& record = target.last_break;
-  const bool together = record.count > 0 && now - record.at <= kBreakWindow;
-  if (!together) {
+  const bool within_window =
+      record.count > 0 && now - record.at <= kBreakWindow;
+  if (!within_window) {
     record.count = 0;
   }
   record.at = now;
@@ -215,8 +221,8 @@
     record.contents[static_cast<size_t>(record.count)] = attempt.content_hash;
     record.count++;
   }
-  const bool others_run = target.attempts.size() > 1;
-  return together || !others_run;
+  const bool others_running = target.attempts.size() > 1;
+  return within_window || !others_running;
 }
 
 bool target_table::Suspect(target_index index, time_point now, duration gate) {
@@ -224,9 +230,9 @@
   target.gate = std::max(target.gate, now + gate);
   target.probation = true;
   UpdateAllowance(index, now);
-  const bool fresh = !target.suspected;
+  const bool newly_suspected = !target.suspected;
   target.suspected = true;
-  return fresh;
+  return newly_suspected;
 }
 
 bool target_table::IsSilent(target_index index, time_point now) const {
@@ -234,11 +240,12 @@
   if (target.attempts.empty()) {
     return false;
   }
-  const time_point since =
+  const time_point silent_since =
       std::max(target.last_answer, target.attempts.front().started);
   const duration threshold = SilenceThreshold();
-  const bool others_answer = last_answer_ > since;
-  return now - since > (others_answer ? threshold : threshold * kAloneFactor);
+  const bool others_answered = last_answer_ > silent_since;
+  return now - silent_since >
+         (others_answered ? threshold : threshold * kNoAnswersFactor);
 }
 
 void target_table::Refresh(time_point now) {
@@ -275,27 +282,28 @@
       ejected += At(i).ejected ? 1 : 0;
     }
   }
-  const int most = std::max(usable / kMostEjectedDivisor, 1);
-  return ejected < most && ejected + 1 < usable;
+  const int max_ejected = std::max(usable / kMostEjectedDivisor, 1);
+  return ejected < max_ejected && ejected + 1 < usable;
 }
 
 void target_table::Gate(target_state& target, time_point now) {
   target.probation = true;
-  // A keyed target stays the owner until its buckets move; it is only asked
-  // less often. A pooled one is left out for longer, unless too many would
-  // be: when most seem to fail, the fault may be ours, and leaving them all
-  // out would turn it into an outage.
+  // A keyed target remains the owner until its buckets move, so it only gets
+  // requests less often. A pooled target is ejected for longer, unless too many
+  // would be: when most targets seem to fail, the fault may be on this host's
+  // side, and ejecting all of them would turn it into an outage.
   const bool pooled = placement_ == placement_kind::kPooled;
   const bool eject = pooled && target.failures >= kFailuresToEject &&
                      (target.ejected || MayEject());
   if (eject) {
-    target.gate =
-        now + Doubled(kFirstEjection, target.ejections, kLongestEjection);
+    target.gate = now + ExponentialBackoff(kFirstEjection, target.ejections,
+                                           kLongestEjection);
     target.ejected = true;
     target.ejections++;
     return;
   }
-  target.gate = now + Doubled(kFirstGate, target.failures - 1, kLongestGate);
+  target.gate =
+      now + ExponentialBackoff(kFirstGate, target.failures - 1, kLongestGate);
 }
 
 duration target_table::SilenceThreshold() const {
