--- a/src/core/range.cc
+++ b/src/core/range.cc
@@ -10,8 +10,8 @@
 
 constexpr int kRecordFormatVersion = 1;
 
-json ToJson(const member& who) {
-  return json{{"host", who.host}, {"life", who.life}};
+json ToJson(const member& host_run) {
+  return json{{"host", host_run.host}, {"life", host_run.life}};
 }
 
 member MemberFromJson(const json& value) {
@@ -49,8 +49,8 @@
     record.order.push_back(
         roster_slot{MemberFromJson(slot), slot.at("epoch").get<uint64_t>()});
   }
-  for (const json& who : value.at("previous")) {
-    record.previous.push_back(MemberFromJson(who));
+  for (const json& host_run : value.at("previous")) {
+    record.previous.push_back(MemberFromJson(host_run));
   }
   record.declared_dead =
       value.at("declared_dead").get<std::vector<std::string>>();
@@ -156,8 +156,8 @@
     order.push_back(std::move(entry));
   }
   json previous = json::array();
-  for (const member& who : record.previous) {
-    previous.push_back(ToJson(who));
+  for (const member& host_run : record.previous) {
+    previous.push_back(ToJson(host_run));
   }
   return json{{"format", kRecordFormatVersion},
               {"order", order},
--- a/src/core/range_table.cc
+++ b/src/core/range_table.cc
@@ -160,9 +160,9 @@
   node.newest_map = map;
   node.noticed_map_seq = map.seq;
   node.next_notice = now + context_.timing.map_notice;
-  for (const member& who : node.record->Members()) {
-    if (who.host != context_.self.host) {
-      context_.outbox[who.host].maps.push_back(
+  for (const member& host_run : node.record->Members()) {
+    if (host_run.host != context_.self.host) {
+      context_.outbox[host_run.host].maps.push_back(
           range_map_notice{node.name, map});
     }
   }
@@ -187,8 +187,8 @@
     if (other.service != node.service || !other.record) {
       continue;
     }
-    for (const member& who : other.record->Members()) {
-      hosts.insert(who.host);
+    for (const member& host_run : other.record->Members()) {
+      hosts.insert(host_run.host);
     }
   }
   hosts.erase(context_.self.host);
@@ -215,17 +215,17 @@
     return host == context_.self.host ? context_.self.life
                                       : context_.directory.LatestLife(host);
   };
-  facts.gone = [this, &node, now, silence](const member& who) {
-    const host_entry* entry = context_.directory.Find(who.host);
+  facts.gone = [this, &node, now, silence](const member& host_run) {
+    const host_entry* entry = context_.directory.Find(host_run.host);
     if (entry != nullptr && entry->leaving) {
       return true;
     }
-    const auto last_heard = node.authority->LastHeard(who);
+    const auto last_heard = node.authority->LastHeard(host_run);
     const time_point since = last_heard
                                  ? std::max(*last_heard, node.acting_since)
                                  : node.acting_since;
     return now >= since + silence &&
-           !context_.directory.Alive(who.host, now, silence);
+           !context_.directory.Alive(host_run.host, now, silence);
   };
   facts.all_saw_record = node.authority->AllSawRecord();
   facts.outranked = node.authority->outranked();
--- a/src/core/roster_policy.cc
+++ b/src/core/roster_policy.cc
@@ -5,8 +5,8 @@
 namespace foxtailspread {
 namespace {
 
-bool Contains(const std::vector<member>& members, const member& who) {
-  return std::find(members.begin(), members.end(), who) != members.end();
+bool Contains(const std::vector<member>& members, const member& host_run) {
+  return std::find(members.begin(), members.end(), host_run) != members.end();
 }
 
 bool ContainsHost(const std::vector<member>& members, std::string_view host) {
@@ -14,22 +14,22 @@
                      [&](const member& m) { return m.host == host; });
 }
 
-bool HasRestarted(const member& who, const roster_facts& facts) {
-  return facts.latest_life(who.host) > who.life;
+bool HasRestarted(const member& host_run, const roster_facts& facts) {
+  return facts.latest_life(host_run.host) > host_run.life;
 }
 
 /// Returns the member that should be replaced: preferably one that has
 /// restarted since, otherwise one that is unavailable.
 std::optional<member> MemberToReplace(const std::vector<member>& members,
                                       const roster_facts& facts) {
-  for (const member& who : members) {
-    if (who != facts.self && HasRestarted(who, facts)) {
-      return who;
+  for (const member& host_run : members) {
+    if (host_run != facts.self && HasRestarted(host_run, facts)) {
+      return host_run;
     }
   }
-  for (const member& who : members) {
-    if (who != facts.self && facts.gone(who)) {
-      return who;
+  for (const member& host_run : members) {
+    if (host_run != facts.self && facts.gone(host_run)) {
+      return host_run;
     }
   }
   return std::nullopt;
@@ -63,39 +63,40 @@
   const std::vector<roster_slot> old_order = std::move(record.order);
   record.order.clear();
   uint64_t last_epoch = 0;
-  for (const member& who : members) {
+  for (const member& host_run : members) {
     uint64_t epoch = 0;
     for (const roster_slot& slot : old_order) {
-      if (slot.who == who) {
+      if (slot.who == host_run) {
         epoch = slot.epoch;
       }
     }
     if (all_new || epoch <= last_epoch) {
       epoch = record.next_epoch++;
     }
-    record.order.push_back(roster_slot{who, epoch});
+    record.order.push_back(roster_slot{host_run, epoch});
     last_epoch = epoch;
   }
 }
 
-void MoveToFront(std::vector<member>& members, const member& who) {
-  const auto found = std::find(members.begin(), members.end(), who);
+void MoveToFront(std::vector<member>& members, const member& host_run) {
+  const auto found = std::find(members.begin(), members.end(), host_run);
   std::rotate(members.begin(), found, found + 1);
 }
 
-bool CertainlyDead(const member& who, const range_record& record,
+bool CertainlyDead(const member& host_run, const range_record& record,
                    const roster_facts& facts) {
   const auto& declared_dead = record.declared_dead;
-  return HasRestarted(who, facts) ||
-         std::find(declared_dead.begin(), declared_dead.end(), who.host) !=
+  return HasRestarted(host_run, facts) ||
+         std::find(declared_dead.begin(), declared_dead.end(), host_run.host) !=
              declared_dead.end();
 }
 
 bool MajorityDead(const std::vector<member>& members,
                   const range_record& record, const roster_facts& facts) {
   const auto dead = std::count_if(
-      members.begin(), members.end(),
-      [&](const member& who) { return CertainlyDead(who, record, facts); });
+      members.begin(), members.end(), [&](const member& host_run) {
+        return CertainlyDead(host_run, record, facts);
+      });
   const size_t alive = members.size() - static_cast<size_t>(dead);
   return alive < members.size() / 2 + 1;
 }
@@ -110,8 +111,8 @@
   range_record record;
   const size_t size = std::min(candidates.size(), kRosterSize);
   for (size_t i = 0; i < size; ++i) {
-    const member& who = candidates[(offset + i) % candidates.size()];
-    record.order.push_back(roster_slot{who, record.next_epoch++});
+    const member& host_run = candidates[(offset + i) % candidates.size()];
+    record.order.push_back(roster_slot{host_run, record.next_epoch++});
   }
   return record;
 }
