--- a/include/foxtailspread/target_table.h
+++ b/include/foxtailspread/target_table.h
@@ -41,7 +41,7 @@
   uint64_t content_hash = 0;
   int32_t organisation = 0;
   urgency level = urgency::kOrdinary;
-  double charged = 0;  ///< Slot time charged to the organisation, in us.
+  double charged = 0;  ///< Slot time billed to the organisation, in us.
 };
 
 using attempt_list = boost::intrusive::list<
