--- a/benchmark/baselines.h
+++ b/benchmark/baselines.h
@@ -129,9 +129,9 @@
         hosts_(static_cast<size_t>(hosts)) {
     for (host& h : hosts_) {
       h.loads.assign(static_cast<size_t>(fleet.Count()),
-                     {.running = 0, .allowance = kNoLimit, .served = 0});
+                     {.running = 0, .allowance = kNoLimit, .start_count = 0});
     }
-    fleet_.OnEnd([this](const job& j, attempt_end end) { Ended(j, end); });
+    fleet_.OnEnd([this](const job& j, attempt_outcome end) { Ended(j, end); });
   }
 
   void Arrive(const arrival& request) {
@@ -171,7 +171,7 @@
     fleet_.Send(entry.target, {index, entry.request.id, entry.request, 0});
   }
 
-  void Ended(const job& j, attempt_end end) {
+  void Ended(const job& j, attempt_outcome end) {
     host& h = hosts_[static_cast<size_t>(j.host)];
     const auto found = h.requests.find(j.attempt);
     if (found == h.requests.end()) {
@@ -180,12 +180,12 @@
     live entry = found->second;
     h.requests.erase(found);
     h.loads[static_cast<size_t>(entry.target)].running--;
-    if (end == attempt_end::kAnswered) {
+    if (end == attempt_outcome::kAnswered) {
       results_.Answered(entry.request, loop_.Now(), duration{0});
       return;
     }
     const bool may_repeat =
-        end != attempt_end::kBroken || entry.request.repeatable;
+        end != attempt_outcome::kConnectionBroken || entry.request.repeatable;
     if (may_repeat && entry.attempts < kMostAttempts) {
       Attempt(j.host, entry);
     }
--- a/benchmark/host_benchmark.cc
+++ b/benchmark/host_benchmark.cc
@@ -87,8 +87,8 @@
       state.SkipWithError("the lookup was not begun");
       return;
     }
-    const attempt_ended ended{attempt->attempt_id, attempt_end::kAnswered, 200,
-                              "", ""};
+    const attempt_ended ended{attempt->attempt_id, attempt_outcome::kAnswered,
+                              200, "", ""};
     const action_list done = fleet.Handle(*steward, ended);
     answered += FindAction<answer_action>(done) != nullptr ? 1 : 0;
     fleet.Host(*steward).TakeReports();
--- a/benchmark/routing_benchmark.cc
+++ b/benchmark/routing_benchmark.cc
@@ -96,7 +96,7 @@
     running_[oldest_] = running_.back();
     running_.pop_back();
     oldest_ = running_.empty() ? 0 : (oldest_ + 1) % running_.size();
-    range_.AttemptEnded(attempt, attempt_end::kAnswered, now_, out_);
+    range_.AttemptEnded(attempt, attempt_outcome::kAnswered, now_, out_);
     Note();
   }
 
@@ -152,7 +152,7 @@
   state.counters["allocations"] =
       benchmark::Counter(static_cast<double>(allocations - before),
                          benchmark::Counter::kAvgIterations);
-  state.counters["queued"] = range.Range().Waiting();
+  state.counters["queued"] = range.Range().WaitingCount();
   state.SetLabel("one request: admitted, started and ended");
 }
 BENCHMARK(DispatchDecision)
--- a/benchmark/steward_model.h
+++ b/benchmark/steward_model.h
@@ -69,7 +69,7 @@
     for (int z = 0; z < shape.zones; ++z) {
       Replan(z);
     }
-    fleet_.OnEnd([this](const job& j, attempt_end end) { Ended(j, end); });
+    fleet_.OnEnd([this](const job& j, attempt_outcome end) { Ended(j, end); });
     loop_.After(kPlacementPeriod, [this] { Period(); });
   }
 
@@ -163,7 +163,7 @@
         const target_index target = running_.at({z, cancel->attempt_id});
         fleet_.Cancel(at.first_target + target, z, cancel->attempt_id);
         loop_.After(duration{0}, [this, z, id = cancel->attempt_id] {
-          Report(z, id, attempt_end::kCancelled);
+          Report(z, id, attempt_outcome::kCancelled);
         });
       } else if (const auto* finish = std::get_if<finish_request>(&d)) {
         at.requests.erase(finish->request_id);
@@ -176,7 +176,7 @@
 
   void ScheduleWake(int z) {
     zone& at = zones_[static_cast<size_t>(z)];
-    const std::optional<time_point> wake = at.range->NextWake();
+    const std::optional<time_point> wake = at.range->NextTickTime();
     if (!wake || *wake >= at.wake) {
       return;
     }
@@ -191,9 +191,11 @@
     });
   }
 
-  void Ended(const job& j, attempt_end end) { Report(j.host, j.attempt, end); }
+  void Ended(const job& j, attempt_outcome end) {
+    Report(j.host, j.attempt, end);
+  }
 
-  void Report(int z, uint64_t attempt, attempt_end end) {
+  void Report(int z, uint64_t attempt, attempt_outcome end) {
     if (running_.erase({z, attempt}) == 0) {
       return;
     }
@@ -211,13 +213,14 @@
 
   void ShareMarks(int from) {
     const std::vector<poison_mark> news =
-        zones_[static_cast<size_t>(from)].range->TakePoisonNews(loop_.Now());
+        zones_[static_cast<size_t>(from)].range->TakeNewPoisonMarks(
+            loop_.Now());
     if (news.empty()) {
       return;
     }
     loop_.After(kShareTime, [this, news] {
       for (zone& at : zones_) {
-        at.range->ImportPoison(news, loop_.Now());
+        at.range->ImportPoisonMarks(news, loop_.Now());
       }
     });
   }
--- a/benchmark/target_fleet.h
+++ b/benchmark/target_fleet.h
@@ -34,7 +34,7 @@
 /// The targets of one service over all zones.
 class target_fleet {
  public:
-  using on_end = std::function<void(const job&, attempt_end)>;
+  using on_end = std::function<void(const job&, attempt_outcome)>;
   static constexpr duration kRefusalTime{200};
   static constexpr duration kRestartTime{std::chrono::seconds{5}};
 
@@ -54,10 +54,10 @@
     state& t = At(target);
     sent.serial = ++serial_;
     if (t.mode == target_mode::kDown) {
-      Refuse(sent, attempt_end::kConnectFailed);
+      Refuse(sent, attempt_outcome::kConnectFailed);
     } else if (t.mode == target_mode::kShedding ||
                t.running.size() + t.queued.size() >= connections_) {
-      Refuse(sent, attempt_end::kNotStarted);
+      Refuse(sent, attempt_outcome::kNotStarted);
     } else if (t.running.size() < slots_) {
       Begin(target, sent);
     } else {
@@ -103,7 +103,7 @@
 
   state& At(int target) { return targets_[static_cast<size_t>(target)]; }
 
-  void Refuse(const job& refused, attempt_end end) {
+  void Refuse(const job& refused, attempt_outcome end) {
     loop_.After(kRefusalTime, [this, refused, end] { report_(refused, end); });
   }
 
@@ -132,7 +132,7 @@
     }
     t.running.erase(found);
     BeginQueued(target);
-    report_(done, attempt_end::kAnswered);
+    report_(done, attempt_outcome::kAnswered);
   }
 
   void BeginQueued(int target) {
@@ -153,7 +153,7 @@
     t.running.clear();
     t.queued.clear();
     for (const job& j : broken) {
-      report_(j, attempt_end::kBroken);
+      report_(j, attempt_outcome::kConnectionBroken);
     }
     loop_.After(kRestartTime,
                 [this, target] { At(target).mode = target_mode::kServing; });
--- a/include/foxtailspread/action_export.h
+++ b/include/foxtailspread/action_export.h
@@ -44,7 +44,7 @@
 };
 
 /// Formats the table content as JSON text.
-std::string FormatActionExport(const action_export& memory);
+std::string FormatActionExport(const action_export& table_export);
 
 /// Parses the text that FormatActionExport returns.
 result<action_export> ParseActionExport(std::string_view text);
--- a/include/foxtailspread/action_id.h
+++ b/include/foxtailspread/action_id.h
@@ -31,8 +31,8 @@
 /// The maximum length of a range name for which a minted identifier, whatever
 /// its epoch and sequence number, has at most kMaxActionIdLength characters.
 inline constexpr size_t kMaxActionRangeLength = 37;
-inline constexpr size_t kMinCallerActionLength = 8;
-inline constexpr size_t kMaxCallerActionLength = 64;
+inline constexpr size_t kMinCallerActionIdLength = 8;
+inline constexpr size_t kMaxCallerActionIdLength = 64;
 
 /// A 256-bit message authentication code.
 using mac_digest = std::array<uint8_t, 32>;
--- a/include/foxtailspread/action_log.h
+++ b/include/foxtailspread/action_log.h
@@ -33,12 +33,12 @@
   void Clear();
 
   /// Reserves `count` sequence numbers and returns the first.
-  uint64_t Reserve(uint64_t count);
+  uint64_t ReserveSequences(uint64_t count);
 
   /// Returns the next number that ReserveSequences would return.
-  uint64_t next() const { return next_; }
+  uint64_t next_sequence() const { return next_sequence_; }
   /// Returns the lowest number whose state is kept.
-  uint64_t first_kept() const;
+  uint64_t first_kept_sequence() const;
   /// Returns the kept states, one bit per number, starting at
   /// first_kept_sequence().
   std::vector<uint64_t> Words() const { return {words_.begin(), words_.end()}; }
@@ -58,8 +58,8 @@
   bool IsKept(uint64_t sequence) const;
 
   size_t max_words_;
-  uint64_t next_ = 0;
-  uint64_t first_word_ = 0;
+  uint64_t next_sequence_ = 0;
+  uint64_t first_kept_word_ = 0;
   std::deque<uint64_t> words_;
 };
 
--- a/include/foxtailspread/action_pool.h
+++ b/include/foxtailspread/action_pool.h
@@ -27,9 +27,9 @@
 class action_pool {
  public:
   /// Number of identifiers that one mint request asks for.
-  static constexpr int kBatch = 16;
+  static constexpr int kMintBatchSize = 16;
   /// Maximum number of identifiers kept for one organisation and range.
-  static constexpr size_t kMostKept = 64;
+  static constexpr size_t kMaxIdsPerRange = 64;
 
   /// Returns the range for the next identifier of the service: the zones of the
   /// service's targets in turn.
@@ -37,26 +37,26 @@
 
   /// Adds an identifier that was minted for the organisation. Drops it if
   /// kMaxIdsPerRange are kept already.
-  void Keep(std::string_view organisation, std::string_view range,
-            std::string id);
+  void AddId(std::string_view organisation, std::string_view range,
+             std::string id);
 
   /// Removes and returns an identifier, or nothing if there is none.
-  std::optional<std::string> Take(std::string_view organisation,
-                                  std::string_view range);
+  std::optional<std::string> TakeId(std::string_view organisation,
+                                    std::string_view range);
 
   /// Removes all identifiers of a range; called when its steward changed.
-  void Forget(std::string_view range);
+  void RemoveRange(std::string_view range);
 
  private:
-  using holder = std::pair<std::string, std::string>;  // organisation, range
+  using pool_key = std::pair<std::string, std::string>;  // organisation, range
 
-  std::map<holder, std::deque<std::string>> kept_;
+  std::map<pool_key, std::deque<std::string>> ids_;
   std::map<std::string, size_t, std::less<>>
-      turns_;  // index of the next target, by service
+      next_target_index_;  // index of the next target, by service
 };
 
 /// Splits the comma-separated identifiers in the reply to a mint request.
-std::vector<std::string> SplitActions(std::string_view text);
+std::vector<std::string> SplitActionIds(std::string_view text);
 
 }  // namespace foxtailspread
 
--- a/include/foxtailspread/action_table-inl.h
+++ b/include/foxtailspread/action_table-inl.h
@@ -31,7 +31,7 @@
 
 template <typename Rules>
 void basic_action_table<Rules>::ContinueIn(uint64_t epoch) {
-  tenure_.covered.push_back(tenure_.epoch);
+  tenure_.covered_epochs.push_back(tenure_.epoch);
   tenure_.epoch = epoch;
 }
 
@@ -39,11 +39,11 @@
 std::string basic_action_table<Rules>::Export(time_point now,
                                               size_t max_body_bytes) const {
   action_export table_export;
-  table_export.covered = tenure_.covered;
+  table_export.covered = tenure_.covered_epochs;
   table_export.covered.push_back(tenure_.epoch);
   table_export.age = now - tenure_.began_at;
-  table_export.next = log_.next();
-  table_export.first_kept = log_.first_kept();
+  table_export.next = log_.next_sequence();
+  table_export.first_kept = log_.first_kept_sequence();
   table_export.words = log_.Words();
   for (const auto& [key, e] : entries_) {
     exported_action exported;
@@ -52,9 +52,10 @@
     exported.sequence = e.sequence;
     exported.content_hash = e.content_hash;
     exported.done = e.state == entry_state::kDone;
-    exported.not_run = e.state == entry_state::kNotRun && !e.unknown_was_said;
+    exported.not_run =
+        e.state == entry_state::kNotRun && !e.unknown_was_reported;
     exported.attempt = e.attempt;
-    exported.age = IsUnderWay(e) ? duration{0} : now - e.touched_at;
+    exported.age = IsUnfinished(e) ? duration{0} : now - e.last_used_at;
     if (e.answer != nullptr) {
       exported.status = e.answer->status;
       exported.content_type = e.answer->content_type;
@@ -78,7 +79,7 @@
     return parsed.error();
   }
   const action_export& table_export = parsed.value();
-  tenure_.covered = table_export.covered;
+  tenure_.covered_epochs = table_export.covered;
   tenure_.began_at = now - table_export.age;
   organisations_.clear();
   log_.Restore(table_export.next, table_export.first_kept, table_export.words);
@@ -96,82 +97,88 @@
     e.content_hash = exported->content_hash;
     e.sequence = exported->sequence;
     e.attempt = exported->attempt;
-    e.unknown_was_said = !exported->done && !exported->not_run;
+    e.unknown_was_reported = !exported->done && !exported->not_run;
     if (exported->done) {
       boost::intrusive_ptr<stored_answer> answer(new stored_answer);
       answer->status = exported->status;
       answer->content_type = exported->content_type;
       answer->body = exported->body;
       answer->body_omitted = exported->body_omitted;
-      KeepAnswer(e, answer);
+      StoreAnswer(e, answer);
     }
     const entry_state ended =
         exported->not_run ? entry_state::kNotRun : entry_state::kUnknown;
-    Settle(now - exported->age, e, exported->done ? entry_state::kDone : ended);
+    FinishEntry(now - exported->age, e,
+                exported->done ? entry_state::kDone : ended);
   }
   return OkStatus();
 }
 
 template <typename Rules>
-action_decision basic_action_table<Rules>::Begin(time_point now,
-                                                 const action_send& request) {
-  entry* e = Find(request.organisation, request.id.text);
-  return e == nullptr ? BeginUnseen(now, request) : BeginSeen(now, *e, request);
+action_decision basic_action_table<Rules>::Begin(
+    time_point now, const action_request& request) {
+  entry* e = FindEntry(request.organisation, request.id.text);
+  return e == nullptr ? BeginWithoutEntry(now, request)
+                      : BeginWithEntry(now, *e, request);
 }
 
 template <typename Rules>
-action_decision basic_action_table<Rules>::BeginSeen(
-    time_point now, entry& e, const action_send& request) {
+action_decision basic_action_table<Rules>::BeginWithEntry(
+    time_point now, entry& e, const action_request& request) {
   // The outcome is kUnknown rather than kNotRun, because the caller could take
   // kNotRun for the outcome of the first request with this identifier.
   if (e.content_hash != request.content_hash) {
-    return Refuse(action_refusal::kOtherContent, action_outcome::kUnknown);
+    return RefuseDecision(action_refusal::kOtherContent,
+                          action_outcome::kUnknown);
   }
   switch (e.state) {
     case entry_state::kQueued:
     case entry_state::kRunning:
-      return Attach(e, request.waiter);
+      return AttachWaiter(e, request.waiter_id);
     case entry_state::kNotRun:
-      return Run(e, request.waiter);
+      return StartAttempt(e, request.waiter_id);
     case entry_state::kDone:
       Touch(now, e);
-      return Answer(action_outcome::kDone, e.answer);
+      return AnswerDecision(action_outcome::kDone, e.answer);
     case entry_state::kUnknown:
       break;
   }
   Touch(now, e);
-  return Answer(action_outcome::kUnknown);
+  return AnswerDecision(action_outcome::kUnknown);
 }
 
 template <typename Rules>
-action_decision basic_action_table<Rules>::BeginUnseen(
-    time_point now, const action_send& request) {
-  const table_memory context{tenure_, log_,
-                             StateOf(request.organisation).caller_made_since,
-                             limits_.resend_window};
-  switch (Rules::JudgeUnseen(request.id, context, now)) {
+action_decision basic_action_table<Rules>::BeginWithoutEntry(
+    time_point now, const action_request& request) {
+  const unseen_action_context context{
+      tenure_, log_,
+      OrganisationState(request.organisation).caller_made_ids_complete_since,
+      limits_.resend_window};
+  switch (Rules::ClassifyUnseen(request.id, context, now)) {
     case unseen_action::kNeverBegun:
       return BeginNew(request);
     case unseen_action::kOtherRange:
-      return Refuse(action_refusal::kOtherRange, action_outcome::kUnknown);
+      return RefuseDecision(action_refusal::kOtherRange,
+                            action_outcome::kUnknown);
     case unseen_action::kLaterEpoch:
-      return Refuse(action_refusal::kNotSteward, action_outcome::kUnknown);
-    case unseen_action::kUnknowable:
+      return RefuseDecision(action_refusal::kNotSteward,
+                            action_outcome::kUnknown);
+    case unseen_action::kMayHaveBegun:
       break;
   }
   if (!request.id.minted) {
-    RememberUnknown(now, request);
+    RecordUnknown(now, request);
   }
-  return Answer(action_outcome::kUnknown);
+  return AnswerDecision(action_outcome::kUnknown);
 }
 
 template <typename Rules>
 action_decision basic_action_table<Rules>::BeginNew(
-    const action_send& request) {
-  if (!MakeRoom(request.organisation)) {
-    return Refuse(action_refusal::kTableFull, action_outcome::kNotRun);
+    const action_request& request) {
+  if (!EnsureCapacity(request.organisation)) {
+    return RefuseDecision(action_refusal::kTableFull, action_outcome::kNotRun);
   }
-  return Run(Add(request), request.waiter);
+  return StartAttempt(AddEntry(request), request.waiter_id);
 }
 
 // The caller gets `unknown` only because the tenure is younger than the resend
@@ -180,24 +187,26 @@
 // table is full, the organisation's identifiers without an entry count as
 // possibly begun for another resend window.
 template <typename Rules>
-void basic_action_table<Rules>::RememberUnknown(time_point now,
-                                                const action_send& request) {
-  if (!MakeRoom(request.organisation)) {
-    StateOf(request.organisation).caller_made_since = now;
+void basic_action_table<Rules>::RecordUnknown(time_point now,
+                                              const action_request& request) {
+  if (!EnsureCapacity(request.organisation)) {
+    OrganisationState(request.organisation).caller_made_ids_complete_since =
+        now;
     return;
   }
-  entry& e = Add(request);
-  e.unknown_was_said = true;
-  Settle(now, e, entry_state::kUnknown);
+  entry& e = AddEntry(request);
+  e.unknown_was_reported = true;
+  FinishEntry(now, e, entry_state::kUnknown);
 }
 
 template <typename Rules>
-action_decision basic_action_table<Rules>::Run(entry& e, uint64_t waiter) {
-  e.hook<by_age>::unlink();
+action_decision basic_action_table<Rules>::StartAttempt(entry& e,
+                                                        uint64_t waiter) {
+  e.hook<by_last_use>::unlink();
   e.state = entry_state::kQueued;
   ++e.attempt;
   e.waiters.push_back(waiter);
-  UpdatePin(e);
+  UpdatePinned(e);
   if (e.sequence) {
     log_.MarkBegun(*e.sequence);
   }
@@ -208,10 +217,12 @@
 }
 
 template <typename Rules>
-action_decision basic_action_table<Rules>::Attach(entry& e, uint64_t waiter) {
-  if (e.waiters.size() >= limits_.max_waiters) {
-    e.unknown_was_said = true;
-    return Refuse(action_refusal::kTooManyWaiters, action_outcome::kUnknown);
+action_decision basic_action_table<Rules>::AttachWaiter(entry& e,
+                                                        uint64_t waiter) {
+  if (e.waiters.size() >= limits_.max_waiters_per_action) {
+    e.unknown_was_reported = true;
+    return RefuseDecision(action_refusal::kTooManyWaiters,
+                          action_outcome::kUnknown);
   }
   e.waiters.push_back(waiter);
   action_decision decision;
@@ -221,9 +232,10 @@
 }
 
 template <typename Rules>
-void basic_action_table<Rules>::Started(std::string_view organisation,
-                                        std::string_view id, uint32_t attempt) {
-  entry* e = Find(organisation, id);
+void basic_action_table<Rules>::RecordStart(std::string_view organisation,
+                                            std::string_view id,
+                                            uint32_t attempt) {
+  entry* e = FindEntry(organisation, id);
   if (e != nullptr && e->attempt == attempt &&
       e->state == entry_state::kQueued) {
     e->state = entry_state::kRunning;
@@ -231,89 +243,90 @@
 }
 
 template <typename Rules>
-auto basic_action_table<Rules>::Ended(time_point now,
-                                      std::string_view organisation,
-                                      std::string_view id,
-                                      action_outcome outcome, answer_ptr answer)
-    -> waiter_list {
-  entry* e = Find(organisation, id);
+auto basic_action_table<Rules>::RecordEnd(time_point now,
+                                          std::string_view organisation,
+                                          std::string_view id,
+                                          action_outcome outcome,
+                                          answer_ptr answer) -> waiter_list {
+  entry* e = FindEntry(organisation, id);
   if (e == nullptr || e->state == entry_state::kDone) {
     return {};
   }
   if (outcome == action_outcome::kDone) {
-    KeepAnswer(*e, answer);
-    return Settle(now, *e, entry_state::kDone);
+    StoreAnswer(*e, answer);
+    return FinishEntry(now, *e, entry_state::kDone);
   }
-  if (!IsUnderWay(*e)) {
+  if (!IsUnfinished(*e)) {
     return {};
   }
-  e->unknown_was_said = true;
-  return Settle(now, *e, entry_state::kUnknown);
+  e->unknown_was_reported = true;
+  return FinishEntry(now, *e, entry_state::kUnknown);
 }
 
 // The attempt must match: a late proof about an earlier attempt says nothing
 // about the current one, and accepting it would let another attempt run
 // concurrently.
 template <typename Rules>
-auto basic_action_table<Rules>::NotRun(time_point now,
-                                       std::string_view organisation,
-                                       std::string_view id, uint32_t attempt)
+auto basic_action_table<Rules>::RecordNotRun(time_point now,
+                                             std::string_view organisation,
+                                             std::string_view id,
+                                             uint32_t attempt)
     -> not_run_report {
-  entry* e = Find(organisation, id);
-  if (e == nullptr || e->attempt != attempt || !IsUnderWay(*e)) {
+  entry* e = FindEntry(organisation, id);
+  if (e == nullptr || e->attempt != attempt || !IsUnfinished(*e)) {
     return {};
   }
-  const action_outcome outcome = Rules::JudgeNotRun(e->unknown_was_said);
+  const action_outcome outcome = Rules::NotRunOutcome(e->unknown_was_reported);
   if (outcome != action_outcome::kNotRun) {
-    return {outcome, Settle(now, *e, entry_state::kUnknown)};
+    return {outcome, FinishEntry(now, *e, entry_state::kUnknown)};
   }
   if (e->sequence) {
     log_.MarkNotBegun(*e->sequence);
   }
-  return {outcome, Settle(now, *e, entry_state::kNotRun)};
+  return {outcome, FinishEntry(now, *e, entry_state::kNotRun)};
 }
 
 template <typename Rules>
-give_up_step basic_action_table<Rules>::GiveUp(std::string_view organisation,
-                                               std::string_view id,
-                                               uint64_t waiter) {
-  entry* e = Find(organisation, id);
+cancel_wait_step basic_action_table<Rules>::CancelWait(
+    std::string_view organisation, std::string_view id, uint64_t waiter) {
+  entry* e = FindEntry(organisation, id);
   if (e == nullptr) {
-    return give_up_step::kNotWaiting;
+    return cancel_wait_step::kNotWaiting;
   }
   const auto position = std::ranges::find(e->waiters, waiter);
   if (position == e->waiters.end()) {
-    return give_up_step::kNotWaiting;
+    return cancel_wait_step::kNotWaiting;
   }
   if (e->state == entry_state::kQueued && e->waiters.size() == 1) {
-    return give_up_step::kCancel;
+    return cancel_wait_step::kCancel;
   }
   e->waiters.erase(position);
-  e->unknown_was_said = true;
-  return give_up_step::kAnswerUnknown;
+  e->unknown_was_reported = true;
+  return cancel_wait_step::kAnswerUnknown;
 }
 
 template <typename Rules>
 void basic_action_table<Rules>::Expire(time_point now) {
   while (!ended_minted_.empty() &&
-         ended_minted_.front().touched_at + limits_.retention <= now) {
-    Forget(ended_minted_.front());
+         ended_minted_.front().last_used_at + limits_.retention_time <= now) {
+    RemoveEntry(ended_minted_.front());
   }
   while (!ended_caller_made_.empty() &&
-         ended_caller_made_.front().touched_at + limits_.resend_window <= now) {
-    Forget(ended_caller_made_.front());
+         ended_caller_made_.front().last_used_at + limits_.resend_window <=
+             now) {
+    RemoveEntry(ended_caller_made_.front());
   }
 }
 
 template <typename Rules>
-auto basic_action_table<Rules>::Find(std::string_view organisation,
-                                     std::string_view id) -> entry* {
-  const auto found = entries_.find(KeyOf(organisation, id));
+auto basic_action_table<Rules>::FindEntry(std::string_view organisation,
+                                          std::string_view id) -> entry* {
+  const auto found = entries_.find(MakeKey(organisation, id));
   return found == entries_.end() ? nullptr : &found->second;
 }
 
 template <typename Rules>
-auto basic_action_table<Rules>::StateOf(std::string_view organisation)
+auto basic_action_table<Rules>::OrganisationState(std::string_view organisation)
     -> organisation_state& {
   auto found = organisations_.find(organisation);
   if (found == organisations_.end()) {
@@ -324,23 +337,26 @@
 }
 
 template <typename Rules>
-bool basic_action_table<Rules>::MakeRoom(std::string_view organisation) {
-  if (StateOf(organisation).pinned >= limits_.max_pinned_per_organisation) {
+bool basic_action_table<Rules>::EnsureCapacity(std::string_view organisation) {
+  if (OrganisationState(organisation).pinned >=
+      limits_.max_pinned_per_organisation) {
     return false;
   }
   while (entries_.size() >= limits_.max_entries) {
     if (ended_minted_.empty()) {
       return false;
     }
-    Forget(ended_minted_.front());
+    RemoveEntry(ended_minted_.front());
   }
   return true;
 }
 
 template <typename Rules>
-auto basic_action_table<Rules>::Add(const action_send& request) -> entry& {
+auto basic_action_table<Rules>::AddEntry(const action_request& request)
+    -> entry& {
   const auto position =
-      entries_.try_emplace(KeyOf(request.organisation, request.id.text)).first;
+      entries_.try_emplace(MakeKey(request.organisation, request.id.text))
+          .first;
   entry& e = position->second;
   e.key = &position->first;
   e.organisation = request.organisation;
@@ -353,17 +369,17 @@
 
 template <typename Rules>
 void basic_action_table<Rules>::Touch(time_point now, entry& e) {
-  e.touched_at = now;
-  e.hook<by_age>::unlink();
+  e.last_used_at = now;
+  e.hook<by_last_use>::unlink();
   (e.sequence ? ended_minted_ : ended_caller_made_).push_back(e);
 }
 
 template <typename Rules>
-auto basic_action_table<Rules>::Settle(time_point now, entry& e,
-                                       entry_state state) -> waiter_list {
+auto basic_action_table<Rules>::FinishEntry(time_point now, entry& e,
+                                            entry_state state) -> waiter_list {
   e.state = state;
   Touch(now, e);
-  UpdatePin(e);
+  UpdatePinned(e);
   return std::exchange(e.waiters, {});
 }
 
@@ -371,30 +387,31 @@
 // records that it began. A caller-made identifier is recorded in its entry
 // only.
 template <typename Rules>
-void basic_action_table<Rules>::UpdatePin(entry& e) {
-  const bool pinned = IsUnderWay(e) || !e.sequence;
+void basic_action_table<Rules>::UpdatePinned(entry& e) {
+  const bool pinned = IsUnfinished(e) || !e.sequence;
   if (pinned == e.pinned) {
     return;
   }
   e.pinned = pinned;
-  size_t& count = StateOf(e.organisation).pinned;
+  size_t& count = OrganisationState(e.organisation).pinned;
   count = pinned ? count + 1 : count - 1;
 }
 
 template <typename Rules>
-void basic_action_table<Rules>::KeepAnswer(entry& e, const answer_ptr& answer) {
+void basic_action_table<Rules>::StoreAnswer(entry& e,
+                                            const answer_ptr& answer) {
   if (answer == nullptr) {
     return;
   }
-  if (answer->body.size() > limits_.max_answer_size) {
+  if (answer->body.size() > limits_.max_answer_body_bytes) {
     e.answer = WithoutBody(*answer);
     return;
   }
   e.answer = answer;
   answer_bytes_ += answer->body.size();
-  with_body_.push_back(e);
-  while (answer_bytes_ > limits_.max_answer_bytes) {
-    DropBody(with_body_.front());
+  entries_with_body_.push_back(e);
+  while (answer_bytes_ > limits_.max_total_answer_bytes) {
+    DropBody(entries_with_body_.front());
   }
 }
 
@@ -418,10 +435,10 @@
 }
 
 template <typename Rules>
-void basic_action_table<Rules>::Forget(entry& e) {
+void basic_action_table<Rules>::RemoveEntry(entry& e) {
   DropBody(e);
   if (e.pinned) {
-    --StateOf(e.organisation).pinned;
+    --OrganisationState(e.organisation).pinned;
   }
   entries_.erase(entries_.find(*e.key));
 }
--- a/include/foxtailspread/action_table.h
+++ b/include/foxtailspread/action_table.h
@@ -91,7 +91,7 @@
 };
 
 /// How to handle a caller that stops waiting.
-enum class give_up_step {
+enum class cancel_wait_step {
   kCancel,  ///< Not begun and nobody else waits: remove it from the queue
             ///< and call RecordNotRun, which returns this waiter.
   kAnswerUnknown,  ///< It runs or may still run: reply `unknown`.
@@ -106,11 +106,11 @@
   time_point began_at{};
   /// Earlier epochs whose complete table was taken over, in a planned handover
   /// or by a steward that continues under a new epoch.
-  std::vector<uint64_t> covered{};
+  std::vector<uint64_t> covered_epochs{};
 
   /// Returns whether the table holds every action that began among those whose
   /// identifiers were minted in `minted_epoch`.
-  bool Covers(uint64_t minted) const;
+  bool Covers(uint64_t minted_epoch) const;
 };
 
 /// The size and time limits of one table.
@@ -121,12 +121,13 @@
   /// organisation could fill the table so that the requests of all others are
   /// refused.
   size_t max_pinned_per_organisation = 20'000;
-  size_t max_waiters = 64;  ///< Requests waiting for one action.
-  size_t max_answer_size = size_t{64} << 10;  ///< Larger bodies are not kept.
-  size_t max_answer_bytes = size_t{32} << 20;
+  size_t max_waiters_per_action = 64;  ///< Requests waiting for one action.
+  size_t max_answer_body_bytes = size_t{64}
+                                 << 10;  ///< Larger bodies are not kept.
+  size_t max_total_answer_bytes = size_t{32} << 20;
   /// How long the entry and answer of an ended action with a minted identifier
   /// are kept after its last use.
-  duration retention{std::chrono::minutes{10}};
+  duration retention_time{std::chrono::minutes{10}};
   /// How long after its last request a caller may send a caller-made
   /// identifier again. Ended entries of such identifiers are kept as long.
   duration resend_window{std::chrono::minutes{2}};
@@ -136,29 +137,29 @@
 };
 
 /// One request for an action, as the steward received it.
-struct action_send {
+struct action_request {
   const action_id& id;  ///< Checked by ParseActionId for `organisation`.
   std::string_view organisation;
   /// A hash of service, key and body; the same for every retry of a request.
   uint64_t content_hash = 0;
-  uint64_t waiter = 0;  ///< Returned by RecordEnd or RecordNotRun.
+  uint64_t waiter_id = 0;  ///< Returned by RecordEnd or RecordNotRun.
 };
 
 /// The classification of an action that has no entry.
 enum class unseen_action {
-  kNeverBegun,  ///< It cannot have begun: it may run.
-  kUnknowable,  ///< It may have begun; the table has no record of it.
+  kNeverBegun,    ///< It cannot have begun: it may run.
+  kMayHaveBegun,  ///< It may have begun; the table has no record of it.
   kOtherRange,
   kLaterEpoch,
 };
 
 /// The state by which an identifier without an entry is classified.
-struct table_memory {
+struct unseen_action_context {
   const action_tenure& tenure;
   const action_log& log;
   /// The time since which the table has kept every caller-made identifier of
   /// the organisation: the start of the tenure, or later if the table was full.
-  time_point caller_made_since{};
+  time_point caller_made_ids_complete_since{};
   duration resend_window{};
 };
 
@@ -167,11 +168,12 @@
 /// detected.
 struct at_most_once_rules {
   /// Classifies an identifier that has no entry in the table.
-  static unseen_action JudgeUnseen(const action_id& id,
-                                   const table_memory& memory, time_point now);
+  static unseen_action ClassifyUnseen(const action_id& id,
+                                      const unseen_action_context& context,
+                                      time_point now);
   /// Returns the outcome to report for an action that provably did not run,
   /// given whether a caller may already have received `unknown`.
-  static action_outcome JudgeNotRun(bool unknown_was_said);
+  static action_outcome NotRunOutcome(bool unknown_was_reported);
 };
 
 /// The actions of one range, kept by its steward.
@@ -221,22 +223,24 @@
 
   /// Reserves `count` sequence numbers for identifiers of this tenure and
   /// returns the first. Only identifiers with a reserved number may run.
-  uint64_t Reserve(uint64_t count) { return log_.Reserve(count); }
+  uint64_t ReserveSequences(uint64_t count) {
+    return log_.ReserveSequences(count);
+  }
 
   /// Decides how to handle one request.
-  action_decision Begin(time_point now, const action_send& send);
+  action_decision Begin(time_point now, const action_request& request);
 
   /// Records that `attempt` was sent to a target and may be running.
-  void Started(std::string_view organisation, std::string_view id,
-               uint32_t attempt);
+  void RecordStart(std::string_view organisation, std::string_view id,
+                   uint32_t attempt);
 
   /// Records the end of an action, also when it is already `unknown`: kDone
   /// with its answer, or kUnknown if the outcome cannot be determined. kNotRun
   /// is treated as kUnknown, because only RecordNotRun accepts a proof that an
   /// attempt never began. Returns the waiters to reply to.
-  waiter_list Ended(time_point now, std::string_view organisation,
-                    std::string_view id, action_outcome outcome,
-                    answer_ptr answer);
+  waiter_list RecordEnd(time_point now, std::string_view organisation,
+                        std::string_view id, action_outcome outcome,
+                        answer_ptr answer);
 
   /// Records the proof that `attempt` never began. A retry may then run the
   /// action, unless a caller already received `unknown`; `outcome` is kUnknown
@@ -245,13 +249,13 @@
     action_outcome outcome = action_outcome::kUnknown;
     waiter_list waiters;
   };
-  not_run_report NotRun(time_point now, std::string_view organisation,
-                        std::string_view id, uint32_t attempt);
+  not_run_report RecordNotRun(time_point now, std::string_view organisation,
+                              std::string_view id, uint32_t attempt);
 
   /// Decides how to handle a caller that stops waiting, because its deadline
   /// passed or its connection closed.
-  give_up_step GiveUp(std::string_view organisation, std::string_view id,
-                      uint64_t waiter);
+  cancel_wait_step CancelWait(std::string_view organisation,
+                              std::string_view id, uint64_t waiter);
 
   /// Removes entries past their retention time. Call it about once a second.
   void Expire(time_point now);
@@ -263,23 +267,23 @@
  private:
   enum class entry_state { kQueued, kRunning, kDone, kNotRun, kUnknown };
 
-  struct by_age;
+  struct by_last_use;
   struct by_body;
   template <typename Tag>
   using hook = boost::intrusive::list_base_hook<
       boost::intrusive::tag<Tag>,
       boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
 
-  struct entry : hook<by_age>, hook<by_body> {
+  struct entry : hook<by_last_use>, hook<by_body> {
     const std::string* key = nullptr;
     std::string organisation;
     std::optional<uint64_t> sequence;  // empty for caller-made identifiers
     uint64_t content_hash = 0;
     entry_state state = entry_state::kQueued;
-    bool unknown_was_said = false;
+    bool unknown_was_reported = false;
     bool pinned = false;
     uint32_t attempt = 0;
-    time_point touched_at{};
+    time_point last_used_at{};
     waiter_list waiters;
     answer_ptr answer;
   };
@@ -290,45 +294,48 @@
 
   struct organisation_state {
     size_t pinned = 0;
-    time_point caller_made_since{};
+    time_point caller_made_ids_complete_since{};
   };
 
   // The length prefix keeps the identifiers of two organisations distinct,
   // whatever characters they contain.
-  static std::string KeyOf(std::string_view organisation, std::string_view id) {
+  static std::string MakeKey(std::string_view organisation,
+                             std::string_view id) {
     return std::to_string(organisation.size()) + ':' +
            std::string(organisation) + std::string(id);
   }
 
-  static bool IsUnderWay(const entry& e) {
+  static bool IsUnfinished(const entry& e) {
     return e.state == entry_state::kQueued || e.state == entry_state::kRunning;
   }
 
-  entry* Find(std::string_view organisation, std::string_view id);
-  organisation_state& StateOf(std::string_view organisation);
-  action_decision BeginSeen(time_point now, entry& e, const action_send& send);
-  action_decision BeginUnseen(time_point now, const action_send& send);
-  action_decision BeginNew(const action_send& send);
-  action_decision Run(entry& e, uint64_t waiter);
-  action_decision Attach(entry& e, uint64_t waiter);
-  void RememberUnknown(time_point now, const action_send& send);
-  bool MakeRoom(std::string_view organisation);
-  entry& Add(const action_send& send);
+  entry* FindEntry(std::string_view organisation, std::string_view id);
+  organisation_state& OrganisationState(std::string_view organisation);
+  action_decision BeginWithEntry(time_point now, entry& e,
+                                 const action_request& request);
+  action_decision BeginWithoutEntry(time_point now,
+                                    const action_request& request);
+  action_decision BeginNew(const action_request& request);
+  action_decision StartAttempt(entry& e, uint64_t waiter);
+  action_decision AttachWaiter(entry& e, uint64_t waiter);
+  void RecordUnknown(time_point now, const action_request& request);
+  bool EnsureCapacity(std::string_view organisation);
+  entry& AddEntry(const action_request& request);
   void Touch(time_point now, entry& e);
-  waiter_list Settle(time_point now, entry& e, entry_state state);
-  void UpdatePin(entry& e);
-  void KeepAnswer(entry& e, const answer_ptr& answer);
+  waiter_list FinishEntry(time_point now, entry& e, entry_state state);
+  void UpdatePinned(entry& e);
+  void StoreAnswer(entry& e, const answer_ptr& answer);
   void DropBody(entry& e);
-  void Forget(entry& e);
+  void RemoveEntry(entry& e);
 
   static answer_ptr WithoutBody(const stored_answer& answer);
-  static action_decision Answer(action_outcome outcome,
-                                answer_ptr answer = nullptr) {
+  static action_decision AnswerDecision(action_outcome outcome,
+                                        answer_ptr answer = nullptr) {
     return {action_step::kAnswer, outcome, action_refusal::kNone, 0,
             std::move(answer)};
   }
-  static action_decision Refuse(action_refusal refusal,
-                                action_outcome outcome) {
+  static action_decision RefuseDecision(action_refusal refusal,
+                                        action_outcome outcome) {
     return {action_step::kRefuse, outcome, refusal, 0, nullptr};
   }
 
@@ -338,9 +345,9 @@
   std::unordered_map<std::string, entry> entries_;
   std::map<std::string, organisation_state, std::less<>> organisations_;
   // Ended entries, the least recently used first.
-  entry_list<by_age> ended_minted_;
-  entry_list<by_age> ended_caller_made_;
-  entry_list<by_body> with_body_;  // the oldest answer first
+  entry_list<by_last_use> ended_minted_;
+  entry_list<by_last_use> ended_caller_made_;
+  entry_list<by_body> entries_with_body_;  // the oldest answer first
   size_t answer_bytes_ = 0;
 };
 
--- a/include/foxtailspread/authority.h
+++ b/include/foxtailspread/authority.h
@@ -47,7 +47,7 @@
 };
 
 /// A request for one witness's promise.
-struct promise_ask {
+struct promise_request {
   std::string range;
   uint64_t epoch = 0;
   uint64_t revision = 0;    ///< Revision of the requester's range record.
@@ -86,13 +86,13 @@
   /// Answers one request. Until a granted promise expires, this host grants
   /// none for the range to another member, unless the holder released it. A
   /// lower epoch is never granted again.
-  promise_answer Answer(const member& asker, const promise_ask& ask,
-                        time_point now);
+  promise_answer AnswerRequest(const member& requester,
+                               const promise_request& request, time_point now);
 
   /// Returns when this host's current promise for the range expires, or
   /// nullopt if there is none.
-  std::optional<time_point> BoundUntil(std::string_view range,
-                                       time_point now) const;
+  std::optional<time_point> PromisedUntil(std::string_view range,
+                                          time_point now) const;
 
   /// Returns the highest epoch promised for the range, 0 if none.
   uint64_t HighestEpoch(std::string_view range) const;
@@ -106,7 +106,7 @@
     member holder;
     uint64_t epoch = 0;
     uint64_t revision = 0;
-    time_point until{};
+    time_point expires_at{};
   };
 
   uint64_t life_;
@@ -115,9 +115,9 @@
 };
 
 /// A promise request and the member to send it to.
-struct addressed_ask {
-  member to;
-  promise_ask ask;
+struct addressed_promise_request {
+  member witness;
+  promise_request request;
 };
 
 /// One host's claim to act as steward of one range.
@@ -139,10 +139,10 @@
 
   /// Claims or renews if due, and appends the requests to send.
   void Tick(time_point now, promise_ledger& ledger,
-            std::vector<addressed_ask>& asks);
+            std::vector<addressed_promise_request>& requests);
 
   /// Handles a witness's answer.
-  void OnAnswer(const member& from, const promise_answer& answer,
+  void OnAnswer(const member& witness, const promise_answer& answer,
                 time_point now);
 
   /// Stops claiming until a record gives this host another epoch, for a
@@ -151,7 +151,7 @@
 
   /// Handles the predecessor's message that it stepped down from `epoch`: this
   /// host claims at the next tick, without waiting for promises to expire.
-  void ClaimAfter(const member& predecessor, uint64_t epoch);
+  void OnPredecessorRelease(const member& predecessor, uint64_t epoch);
 
   /// Returns the time until which this host may act as steward. A time in the
   /// past means that it may not act.
@@ -165,7 +165,7 @@
   const std::string& range() const { return range_; }
 
   /// Returns when that member last answered, or nullopt if it never did.
-  std::optional<time_point> LastHeard(const member& who) const;
+  std::optional<time_point> LastAnswerTime(const member& witness) const;
 
   /// True if every member of the roster is known to have the current record,
   /// so that the former roster can no longer form a majority.
@@ -178,23 +178,23 @@
 
   /// True if this member cannot claim with its epoch and has not been bound by
   /// a promise for some time, so that probably no host acts as steward.
-  bool Blocked(time_point now, const promise_ledger& ledger) const;
+  bool IsBlocked(time_point now, const promise_ledger& ledger) const;
 
   /// Returns when Tick next has work to do.
-  time_point NextWake() const { return next_ask_; }
+  time_point NextWake() const { return next_request_at_; }
 
  private:
   struct witness_state {
     time_point promised_until{};
-    time_point last_heard{};
-    uint64_t saw_revision = 0;
-    bool heard = false;
+    time_point last_answer_at{};
+    uint64_t seen_revision = 0;
+    bool has_answered = false;
   };
 
   bool MayClaim(time_point now, const promise_ledger& ledger) const;
-  promise_ask MakeAsk(const member& to, time_point now) const;
-  bool AskSelf(time_point now, promise_ledger& ledger);
-  time_point MajorityUntil(const std::vector<member>& roster) const;
+  promise_request MakeRequest(const member& witness, time_point now) const;
+  bool RequestOwnPromise(time_point now, promise_ledger& ledger);
+  time_point MajorityPromisedUntil(const std::vector<member>& roster) const;
   std::set<member> Witnesses() const;
 
   std::string range_;
@@ -203,14 +203,15 @@
   range_record record_;
   int index_ = -1;
   uint64_t epoch_ = 0;
-  uint64_t refused_epoch_ = 0;  ///< Claims up to this epoch would be refused.
+  uint64_t highest_refused_epoch_ =
+      0;  ///< Claims up to this epoch would be refused.
   bool outranked_ = false;
   member released_by_;
   uint64_t released_epoch_ = 0;
   bool stepped_down_ = false;
-  time_point claim_after_{};
-  time_point unbound_since_{};
-  time_point next_ask_{};
+  time_point earliest_claim_at_{};
+  time_point last_promise_seen_at_{};
+  time_point next_request_at_{};
   std::map<member, witness_state> witnesses_;
 };
 
--- a/include/foxtailspread/bucket_owners.h
+++ b/include/foxtailspread/bucket_owners.h
@@ -34,7 +34,7 @@
 };
 
 /// A message to a target: it owns exactly these buckets under this lease.
-struct grant_order {
+struct lease_grant {
   int target = -1;
   uint64_t seq = 0;      ///< Increases with each grant to the target.
   int64_t echo_us = 0;   ///< A reading of the target's clock, 0 if none yet.
@@ -50,7 +50,7 @@
 
 /// The grants to send and the changes of owners that one step results in.
 struct ownership_step {
-  std::vector<grant_order> orders;
+  std::vector<lease_grant> grants;
   std::vector<owner_change> changes;
 };
 
@@ -71,19 +71,19 @@
   explicit bucket_owners(lease_timing timing) : timing_(timing) {}
 
   /// Starts a new term of the steward, in which no bucket is owned yet.
-  void Begin(int bucket_count);
+  void BeginTenure(int bucket_count);
 
   /// Records that a target may still hold a bucket under a lease granted by
   /// the former steward. Used when that steward handed the range over before
   /// its own authority expired.
-  void Inherit(int bucket, int target, time_point now);
+  void InheritLease(int bucket, int target, time_point now);
 
   /// Replaces the list of targets. Targets that remain keep their state and
   /// index. Returns the index of each name.
   std::vector<int> SetTargets(std::span<const std::string> names);
 
   /// Sets the target that should own the bucket, -1 for none.
-  void Want(int bucket, int target);
+  void SetDesiredOwner(int bucket, int target);
 
   /// Adds an entry for one more separately owned key and returns its index.
   int AddKeySlot();
@@ -113,78 +113,79 @@
   /// also set while the bucket is being granted or revoked.
   int Holder(int bucket) const { return buckets_[bucket].holder; }
   /// Returns the target that should own the bucket, -1 if none.
-  int Wanted(int bucket) const { return buckets_[bucket].wanted; }
+  int DesiredOwner(int bucket) const { return buckets_[bucket].desired_owner; }
   /// Returns the number of buckets and separately owned keys.
   int size() const { return static_cast<int>(buckets_.size()); }
 
   /// True while the target is certain to hold a valid lease.
-  bool Leased(int target, time_point now) const;
+  bool HasValidLease(int target, time_point now) const;
   /// Returns the time by which every lease of the target has certainly
   /// expired. Without its confirmation, no other target can own what it holds
   /// earlier than that.
-  time_point LeaseBound(int target) const {
-    return targets_[target].lease_bound;
+  time_point LatestLeaseEnd(int target) const {
+    return targets_[target].latest_lease_end;
   }
   /// True when the target answered within twice the answer timeout.
-  bool Answering(int target, time_point now) const;
+  bool AnsweredRecently(int target, time_point now) const;
   /// Estimates the target's clock at `now`. The estimate is never ahead of
   /// the true reading; nullopt before the first reading.
   std::optional<int64_t> TargetClock(int target, time_point now) const;
 
   /// Returns the number of changes of serving targets so far.
-  uint64_t changes() const { return changes_; }
+  uint64_t change_count() const { return change_count_; }
 
  private:
   /// A reading of a target's clock, with the times on this host's clock
   /// between which the target took it.
-  struct reading {
+  struct clock_reading {
     int64_t clock_us = 0;
-    time_point asked_at{};
+    time_point requested_at{};
     time_point received_at{};
   };
-  struct sent_order {
+  struct sent_grant {
     uint64_t seq = 0;
     time_point sent_at{};
-    std::optional<reading> echo;
+    std::optional<clock_reading> last_reading;
     duration lease{0};
     std::vector<int> buckets;
   };
   struct target_state {
     std::string name;
-    bool listed = true;   ///< In the list given last.
-    uint64_t seq = 0;     ///< Of the last grant.
-    bool dirty = true;    ///< The set of buckets is not yet confirmed.
-    bool failed = false;  ///< The last grant got no answer.
-    bool idle = false;    ///< The last grant named no buckets.
-    std::optional<sent_order> pending;
-    std::optional<reading> echo;
+    bool listed = true;  ///< In the list given last.
+    uint64_t seq = 0;    ///< Of the last grant.
+    bool dirty = true;   ///< The set of buckets is not yet confirmed.
+    bool last_grant_failed = false;  ///< The last grant got no answer.
+    bool last_grant_empty = false;   ///< The last grant named no buckets.
+    std::optional<sent_grant> pending;
+    std::optional<clock_reading> last_reading;
     time_point last_sent{};
     time_point last_reply{};
-    bool replied = false;
-    time_point lease_until{};  ///< The lease is certainly valid before.
-    time_point lease_bound{};  ///< The lease has certainly expired from here.
+    bool has_replied = false;
+    time_point lease_valid_until{};  ///< The lease is certainly valid before.
+    time_point
+        latest_lease_end{};  ///< The lease has certainly expired from here.
   };
   struct bucket_state {
-    int owner = -1;         ///< The target that serves it.
-    int holder = -1;        ///< The target that may hold a lease on it.
-    int wanted = -1;        ///< The target that should own it.
-    bool revoking = false;  ///< Left out of grants until the holder confirms.
+    int owner = -1;          ///< The target that serves it.
+    int holder = -1;         ///< The target that may hold a lease on it.
+    int desired_owner = -1;  ///< The target that should own it.
+    bool revoking = false;   ///< Left out of grants until the holder confirms.
   };
 
   void StepBucket(int bucket, time_point now,
                   const std::function<bool(int)>& is_running,
                   ownership_step& out);
   void SetOwner(int bucket, int target, ownership_step& out);
-  bool OrderDue(const target_state& target, time_point now) const;
-  grant_order MakeOrder(int target, time_point now, time_point acting_until);
-  std::vector<int> GrantedTo(int target) const;
-  void TakeReading(target_state& target, int64_t clock_us, time_point asked_at,
-                   time_point now);
+  bool GrantDue(const target_state& target, time_point now) const;
+  lease_grant MakeGrant(int target, time_point now, time_point acting_until);
+  std::vector<int> GrantedBuckets(int target) const;
+  void RecordClockReading(target_state& target, int64_t clock_us,
+                          time_point requested_at, time_point now);
 
   lease_timing timing_;
   std::vector<target_state> targets_;
   std::vector<bucket_state> buckets_;
-  uint64_t changes_ = 0;
+  uint64_t change_count_ = 0;
 };
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/burn.h
+++ b/include/foxtailspread/burn.h
@@ -28,7 +28,7 @@
 inline constexpr duration kBurnLongWindow{std::chrono::hours{1}};
 /// Requests are counted per interval of this length; counts leave the windows
 /// one interval at a time.
-inline constexpr duration kBurnBucket{std::chrono::seconds{15}};
+inline constexpr duration kBurnInterval{std::chrono::seconds{15}};
 
 /// Requests in one window.
 struct burn_counts {
@@ -100,25 +100,26 @@
   std::vector<burn_row> AllRows(time_point now) const;
 
   /// Returns the number of requests left out because all rows were in use.
-  uint64_t uncounted() const { return uncounted_; }
+  uint64_t uncounted_requests() const { return uncounted_requests_; }
 
  private:
-  struct bucket {
-    int64_t number = -1;  // intervals since the clock's epoch, -1 if unused
+  struct interval_counts {
+    int64_t interval_number =
+        -1;  // intervals since the clock's epoch, -1 if unused
     uint32_t good = 0;
     uint32_t total = 0;
   };
-  using ring = std::vector<bucket>;
+  using interval_ring = std::vector<interval_counts>;
   using row_key = std::pair<std::string, std::string>;
 
-  static burn_counts CountsWithin(const ring& buckets, time_point now,
-                                  duration window);
+  static burn_counts CountsWithin(const interval_ring& intervals,
+                                  time_point now, duration window);
   burn_row MakeRow(time_point now, const row_key& key,
-                   const ring& buckets) const;
+                   const interval_ring& intervals) const;
 
   size_t max_rows_;
-  uint64_t uncounted_ = 0;
-  std::map<row_key, ring> rows_;
+  uint64_t uncounted_requests_ = 0;
+  std::map<row_key, interval_ring> rows_;
   std::map<std::string, double, std::less<>> targets_;
 };
 
--- a/include/foxtailspread/crash_watch.h
+++ b/include/foxtailspread/crash_watch.h
@@ -39,31 +39,32 @@
 
   /// Records that a request with this content got no complete response. A hash
   /// of 0 stands for no content and is ignored.
-  void OnBroken(uint64_t content, const target_life& target, time_point now);
+  void OnBrokenResponse(uint64_t content_hash, const target_life& target,
+                        time_point now);
   /// Records that a target answered the content, which is therefore harmless.
-  void OnAnswered(uint64_t content);
+  void OnResponse(uint64_t content_hash);
   /// Counts a crash for each suspect whose target is missing from the store's
   /// list. Call it only with a list that is reliable.
-  void OnListed(const std::function<bool(const target_life&)>& is_listed,
-                time_point now);
+  void OnTargetList(const std::function<bool(const target_life&)>& is_listed,
+                    time_point now);
 
   /// Returns whether requests with this content are to be refused.
-  bool IsCrashing(uint64_t content, time_point now) const;
+  bool IsQuarantined(uint64_t content_hash, time_point now) const;
 
   /// Returns the marks of crashes that this host counted since the last call,
   /// to be sent to the other hosts.
-  std::vector<poison_mark> TakeNews(time_point now);
+  std::vector<poison_mark> TakeNewMarks(time_point now);
   /// Returns the latest `max_count` marks of all hosts, newest last.
-  std::vector<poison_mark> Marks(size_t most, time_point now) const;
+  std::vector<poison_mark> LatestMarks(size_t max_count, time_point now) const;
   /// Merges the marks of other hosts.
   void Import(std::span<const poison_mark> marks, time_point now);
 
  private:
   /// A request that got no complete response and may have crashed its target.
   struct suspect {
-    uint64_t content = 0;
+    uint64_t content_hash = 0;
     target_life target;
-    time_point broke{};
+    time_point broken_at{};
   };
 
   poison_guard guard_;
--- a/include/foxtailspread/dispatch_types.h
+++ b/include/foxtailspread/dispatch_types.h
@@ -40,14 +40,14 @@
 };
 
 /// How an attempt ended, as observed by its sender.
-enum class attempt_end {
+enum class attempt_outcome {
   kAnswered,       ///< A complete answer arrived.
   kNotStarted,     ///< The target reports that it did not start it (503, 504).
-  kRefusedOwner,   ///< The target does not own the key; not started (409).
+  kNotOwner,       ///< The target does not own the key; not started (409).
   kConnectFailed,  ///< Connecting failed, so nothing was sent.
-  kBroken,         ///< The connection broke after the request was sent.
-  kTimedOut,       ///< The sender's timeout expired.
-  kCancelled,      ///< A cancel_attempt was carried out.
+  kConnectionBroken,  ///< The connection broke after the request was sent.
+  kTimedOut,          ///< The sender's timeout expired.
+  kCancelled,         ///< A cancel_attempt was carried out.
 };
 
 /// Whether a request that ended without an answer may have run.
--- a/include/foxtailspread/dispatcher.h
+++ b/include/foxtailspread/dispatcher.h
@@ -50,7 +50,7 @@
 /// Event counts since the dispatcher was constructed.
 struct dispatch_counters {
   uint64_t submitted = 0;
-  uint64_t first_starts = 0;
+  uint64_t first_attempts = 0;
   uint64_t retries = 0;
   uint64_t answered = 0;
   uint64_t refused = 0;   ///< Finished by Submit itself.
@@ -71,24 +71,25 @@
 class basic_dispatcher {
  public:
   /// Time for which a request waits for its bucket to get an owner.
-  static constexpr duration kOwnerWait{std::chrono::milliseconds{1500}};
+  static constexpr duration kOwnerWaitTimeout{std::chrono::milliseconds{1500}};
   /// Period of the checks for silent targets, for targets whose pause in starts
   /// (gate) is over and for held requests that can continue.
   static constexpr duration kCheckPeriod{std::chrono::milliseconds{10}};
   /// Once urgent requests have been waiting without interruption for
   /// kStandingQueueThreshold, another one is admitted only if its estimated
   /// wait is at most kMaxStandingWaitServiceTimes mean service times.
-  static constexpr duration kStandingTime{std::chrono::milliseconds{100}};
-  static constexpr double kStandingTurns = 4;
+  static constexpr duration kStandingQueueThreshold{
+      std::chrono::milliseconds{100}};
+  static constexpr double kMaxStandingWaitServiceTimes = 4;
   /// Capacity of the token bucket that limits retries.
-  static constexpr double kRetryBurst = 10;
+  static constexpr double kMaxRetryTokens = 10;
   /// The retry delay returned if there is no estimate.
-  static constexpr duration kUnknownReturn{std::chrono::seconds{1}};
+  static constexpr duration kDefaultRetryAfter{std::chrono::seconds{1}};
 
   /// `bucket_count` is the service's number of key buckets, 0 for a pooled
   /// service.
-  explicit basic_dispatcher(placement_kind placement, int buckets = 0,
-                            picker choose = {});
+  explicit basic_dispatcher(placement_kind placement, int bucket_count = 0,
+                            picker picker_instance = {});
   basic_dispatcher(const basic_dispatcher&) = delete;
   basic_dispatcher& operator=(const basic_dispatcher&) = delete;
 
@@ -116,7 +117,9 @@
                           time_point now);
   /// Sets until when this host has authority over the range. No attempt starts
   /// after that, and no attempt of a keyed service runs beyond it.
-  void SetAuthority(time_point until) { authority_ = until; }
+  void SetAuthorityEnd(time_point authority_end) {
+    authority_end_ = authority_end;
+  }
 
   /// Admits or refuses a request. A refusal is among the decisions of this
   /// call.
@@ -125,7 +128,7 @@
   /// Reports the end of an attempt. For kAnswered, returns the id of the
   /// request that the answer belongs to, or nullopt if that request already has
   /// its final answer and this answer must be dropped.
-  std::optional<uint64_t> AttemptEnded(uint64_t attempt_id, attempt_end end,
+  std::optional<uint64_t> AttemptEnded(uint64_t attempt_id, attempt_outcome end,
                                        time_point now,
                                        std::vector<dispatch_decision>& out);
   /// Cancels a request on behalf of its caller. Unknown ids are ignored.
@@ -134,7 +137,7 @@
   /// Expires requests, checks targets and starts requests as of `now`.
   void Tick(time_point now, std::vector<dispatch_decision>& out);
   /// Returns when Tick must be called next, or nullopt if it need not be.
-  std::optional<time_point> NextWake() const;
+  std::optional<time_point> NextTickTime() const;
   /// Called when the host loses its authority. Finishes all waiting requests
   /// and starts none until Resume. Running attempts may continue until their
   /// deadline.
@@ -142,28 +145,28 @@
   void Resume() { suspended_ = false; }
 
   /// Access to the marks of the poison_guard, which describes them.
-  std::vector<poison_mark> TakePoisonNews(time_point now) {
-    return poison_.TakeNews(now);
+  std::vector<poison_mark> TakeNewPoisonMarks(time_point now) {
+    return poison_.TakeNewMarks(now);
   }
-  std::vector<poison_mark> ExportPoison(time_point now) const {
+  std::vector<poison_mark> ExportPoisonMarks(time_point now) const {
     return poison_.Export(now);
   }
-  void ImportPoison(std::span<const poison_mark> marks, time_point now) {
+  void ImportPoisonMarks(std::span<const poison_mark> marks, time_point now) {
     poison_.Import(marks, now);
   }
 
   /// Returns the usable owner of the key, or kNoTarget if it has none.
   target_index OwnerOf(int32_t bucket, uint64_t key_hash) const;
-  int Waiting() const { return waiting_; }
+  int WaitingCount() const { return waiting_count_; }
   /// Returns the number of unfinished requests, including running ones.
-  int Live() const { return static_cast<int>(by_due_.size()); }
+  int LiveCount() const { return static_cast<int>(by_expiry_.size()); }
   const dispatch_counters& Counters() const { return counters_; }
 
  private:
   using decisions = std::vector<dispatch_decision>;
-  struct earlier_due {
+  struct earlier_expiry {
     bool operator()(const live_request& a, const live_request& b) const {
-      return a.due < b.due;
+      return a.expires_at < b.expires_at;
     }
   };
   struct id_of_request {
@@ -172,12 +175,12 @@
       return r.request.request_id;
     }
   };
-  using due_order = boost::intrusive::multiset<
+  using expiry_order = boost::intrusive::multiset<
       live_request,
       boost::intrusive::member_hook<live_request,
                                     boost::intrusive::set_member_hook<>,
-                                    &live_request::due_hook>,
-      boost::intrusive::compare<earlier_due>>;
+                                    &live_request::expiry_hook>,
+      boost::intrusive::compare<earlier_expiry>>;
   using request_index = boost::intrusive::unordered_set<
       live_request,
       boost::intrusive::member_hook<
@@ -195,24 +198,24 @@
     finish_reason reason = finish_reason::kDeadline;
     duration retry_after{0};
   };
-  std::optional<refusal> Refuse(const dispatch_request& request,
-                                time_point now) const;
-  std::optional<refusal> RefuseByLoad(const dispatch_request& request,
-                                      time_point now) const;
+  std::optional<refusal> CheckAdmission(const dispatch_request& request,
+                                        time_point now) const;
+  std::optional<refusal> CheckLoad(const dispatch_request& request,
+                                   time_point now) const;
   double ParallelSlots(target_index target) const;
-  double MeanUs(target_index target) const;
-  duration DrainTime(target_index target) const;
+  double MeanServiceTimeUs(target_index target) const;
+  duration EstimateDrainTime(target_index target) const;
 
   // Request state changes.
   live_request& Allocate(const dispatch_request& request);
-  void SetDue(live_request& live, time_point due);
-  void Place(live_request& live, bool front, time_point now);
+  void SetExpiry(live_request& live, time_point expires_at);
+  void Enqueue(live_request& live, bool front, time_point now);
   void Hold(live_request& live, time_point now);
   void Unlink(live_request& live);
   void Finish(live_request& live, finish_reason reason, duration retry_after,
               decisions& out);
-  void Release(live_request& live);
-  void CountWaiting(const live_request& live, int step);
+  void FreeRequest(live_request& live);
+  void AdjustWaitingCount(const live_request& live, int delta);
 
   // Starting attempts.
   void Dispatch(target_index target, time_point now, decisions& out);
@@ -223,28 +226,30 @@
   bool StartNext(fair_queue& queue, target_index target, time_point now,
                  decisions& out);
   bool ArchiveAllowed(target_index target) const;
-  void Start(live_request& live, target_index target, time_point now,
-             decisions& out);
-  bool StillWorthwhile(live_request& live, target_index target, time_point now,
-                       decisions& out);
-  bool RunsNow(uint64_t content_hash) const;
+  void StartAttempt(live_request& live, target_index target, time_point now,
+                    decisions& out);
+  bool CheckBeforeStart(live_request& live, target_index target, time_point now,
+                        decisions& out);
+  bool IsContentRunning(uint64_t content_hash) const;
 
   // Ending attempts.
   running_attempt* FindAttempt(uint64_t attempt_id);
   running_attempt& AllocateAttempt();
   void FreeAttempt(running_attempt& attempt);
-  void CountHealth(running_attempt& attempt, attempt_end end, time_point now,
-                   decisions& out);
-  void CountAnswer(running_attempt& attempt, time_point now);
-  bool CountBreak(running_attempt& attempt, time_point now, decisions& out);
-  void AfterFailure(live_request& live, attempt_end end, bool target_lost,
-                    time_point now, decisions& out);
-  bool SpendRetry();
-  void Rescue(target_index target, time_point now, decisions& out);
+  void UpdateTargetHealth(running_attempt& attempt, attempt_outcome end,
+                          time_point now, decisions& out);
+  void RecordAnswer(running_attempt& attempt, time_point now);
+  bool RecordConnectionBreak(running_attempt& attempt, time_point now,
+                             decisions& out);
+  void HandleFailedAttempt(live_request& live, attempt_outcome end,
+                           bool target_lost, time_point now, decisions& out);
+  bool TakeRetryToken();
+  void RequeueRepeatableRequests(target_index target, time_point now,
+                                 decisions& out);
 
   // Handling of timers and of changes by setters.
   void ApplyChanges(time_point now, decisions& out);
-  void Reroute(time_point now);
+  void RequeueByOwner(time_point now);
   void ReleaseHeld(time_point now);
   void Expire(time_point now, decisions& out);
   void CheckTargets(time_point now, decisions& out);
@@ -256,30 +261,30 @@
   std::deque<live_request> requests_;
   std::deque<running_attempt> attempts_;
   std::vector<uint32_t> free_attempts_;
-  std::vector<typename request_index::bucket_type> id_buckets_;
+  std::vector<typename request_index::bucket_type> id_hash_buckets_;
 
   target_table targets_;
   fair_queue pooled_queue_;
   request_list retries_;
   request_list held_;
   request_list free_requests_;
-  due_order by_due_;
+  expiry_order by_expiry_;
   request_index by_id_;
 
-  std::vector<int16_t> owners_;  // Indexed by bucket.
+  std::vector<int16_t> bucket_owners_;  // Indexed by bucket.
   std::unordered_map<uint64_t, target_index> key_owners_;
   std::vector<organisation_rule> rules_;
   std::vector<std::array<int, kUrgencyCount>>
-      queued_;  // Indexed by organisation.
+      waiting_by_class_;  // Indexed by organisation.
   preset_config preset_;
   poison_guard poison_;
   dispatch_counters counters_;
-  double retry_tokens_ = kRetryBurst;
-  time_point authority_ = time_point::max();
+  double retry_tokens_ = kMaxRetryTokens;
+  time_point authority_end_ = time_point::max();
   time_point next_check_;
-  int waiting_ = 0;
+  int waiting_count_ = 0;
   bool suspended_ = false;
-  bool changed_ = false;
+  bool has_pending_changes_ = false;
 };
 
 using dispatcher = basic_dispatcher<>;
--- a/include/foxtailspread/entry_host.h
+++ b/include/foxtailspread/entry_host.h
@@ -75,20 +75,20 @@
  private:
   void OnTick(time_point now, steward_output& out);
   void OnPeer(const peer_message& message, time_point now, steward_output& out);
-  void OnLeave(time_point now);
-  void TakeNews(const std::vector<object_change>& news, time_point now,
-                action_list& out);
-  void TakeConfig(const object_change& change, time_point now,
-                  action_list& out);
-  void Relay(const std::vector<object_change>& news, uint64_t since,
-             std::string_view except);
+  void StartLeaving(time_point now);
+  void ApplyChanges(const std::vector<object_change>& news, time_point now,
+                    action_list& out);
+  void ApplyConfig(const object_change& change, time_point now,
+                   action_list& out);
+  void RelayChanges(const std::vector<object_change>& news, uint64_t since,
+                    std::string_view excluded_host);
   void Reconfigure(time_point now);
   void RegisterSelf(time_point now, action_list& out);
-  void Greet(time_point now);
+  void SendHello(time_point now);
   void TickLeaving(time_point now, steward_output& out);
-  void Flush(action_list& out);
-  void NoteLeaving();
-  target_notices Notices() const;
+  void SendPeerMessages(action_list& out);
+  void UpdateListedLeaving();
+  target_status_source MakeTargetNotices() const;
 
   decision_timing timing_;
   host_entry self_;
@@ -104,8 +104,8 @@
   std::optional<deployment_config> config_;
   bool targets_changed_ = false;
   std::set<std::string> listed_leaving_;  ///< According to the platform.
-  time_point next_hello_{};
-  std::optional<time_point> first_peer_batch_;
+  time_point next_hello_time_{};
+  std::optional<time_point> first_peer_batch_time_;
   bool started_ = false;
   bool leaving_ = false;
   bool stopped_ = false;
--- a/include/foxtailspread/evacuations.h
+++ b/include/foxtailspread/evacuations.h
@@ -31,7 +31,7 @@
  public:
   /// Sets the zones that were evacuated at `as_of`. Ignores a set that is older
   /// than the current one. Returns whether the zones changed.
-  bool Take(std::set<std::string> zones, time_point as_of);
+  bool Update(std::set<std::string> zones, time_point as_of);
 
   const std::set<std::string>& zones() const { return zones_; }
 
--- a/include/foxtailspread/fair_queue.h
+++ b/include/foxtailspread/fair_queue.h
@@ -21,7 +21,7 @@
 
 /// The state of a live request. A request is live from its admission until its
 /// final answer.
-enum class request_place : uint8_t {
+enum class request_state : uint8_t {
   kFree,    ///< Not live; its memory is in the pool.
   kQueued,  ///< In a fair_queue.
   kRetry,   ///< Pooled services: waits to run on another target.
@@ -34,16 +34,16 @@
 /// A live request and its links to the dispatcher's containers.
 struct live_request {
   boost::intrusive::list_member_hook<> wait_hook;
-  boost::intrusive::set_member_hook<> due_hook;
+  boost::intrusive::set_member_hook<> expiry_hook;
   boost::intrusive::unordered_set_member_hook<> id_hook;
   dispatch_request request;
-  time_point due;  ///< Finished at this time at the latest.
+  time_point expires_at;  ///< Finished at this time at the latest.
   time_point queued_since;
   running_attempt* attempt = nullptr;
   target_index last_target = kNoTarget;
   /// Keyed services: the target in whose queue it waits.
-  target_index queued_at = kNoTarget;
-  request_place place = request_place::kFree;
+  target_index queue_target = kNoTarget;
+  request_state state = request_state::kFree;
   /// An earlier attempt may have run it, so the outcome must not be kNotRun.
   bool may_have_run = false;
 };
@@ -72,14 +72,14 @@
  public:
   /// After this many other starts, a waiting archive request starts next if
   /// archive requests are allowed. They thus make progress under load.
-  static constexpr int kArchiveEvery = 64;
+  static constexpr int kMaxStartsBeforeArchive = 64;
   /// Starts by which an organisation may be ahead of the queue and still count
   /// as within its share. If this is too small, a short burst of urgent
   /// requests waits behind ordinary requests of other organisations.
-  static constexpr int kMostAhead = 16;
+  static constexpr int kMaxStartsAhead = 16;
   /// Starts by which an organisation may be behind the queue, for example
   /// because of the limit on archive requests. A larger deficit is forfeited.
-  static constexpr int kMostBehind = 4;
+  static constexpr int kMaxStartsBehind = 4;
 
   fair_queue() = default;
   fair_queue(const fair_queue&) = delete;
@@ -97,11 +97,11 @@
 
   /// Removes and returns the next request, or nullptr if none may start.
   /// `cost_us` is its expected slot time.
-  live_request* Pop(bool archive_allowed, double cost);
+  live_request* Pop(bool archive_allowed, double cost_us);
 
   /// Adjusts the charge of a start by `difference_us`, the measured slot time
   /// minus the expected one.
-  void Correct(int32_t organisation, double difference);
+  void AdjustCharge(int32_t organisation, double difference_us);
 
   bool Empty() const { return size_ == 0; }
   int Size() const { return size_; }
@@ -112,10 +112,10 @@
   time_point UrgentWaitsSince() const { return urgent_since_; }
   /// Returns how many waiting requests of the organisation would start before
   /// a new request of this class.
-  int SizeAhead(int32_t organisation, urgency level) const;
+  int CountAhead(int32_t organisation, urgency level) const;
   /// Returns the organisation's share divided by the sum of the shares of all
   /// waiting organisations and itself.
-  double ShareNow(int32_t organisation) const;
+  double ShareAmongWaiting(int32_t organisation) const;
 
   /// Calls `visit` for each waiting request. `visit` may erase the request
   /// that it is called with.
@@ -127,7 +127,7 @@
   struct class_flow {
     boost::intrusive::set_member_hook<> order_hook;
     request_list waiting;
-    flow* owner = nullptr;
+    flow* parent = nullptr;
   };
   struct flow {
     std::array<class_flow, kUrgencyCount> classes;
@@ -138,9 +138,9 @@
   };
   struct earlier_flow {
     bool operator()(const class_flow& a, const class_flow& b) const {
-      return a.owner->virtual_time != b.owner->virtual_time
-                 ? a.owner->virtual_time < b.owner->virtual_time
-                 : a.owner->organisation < b.owner->organisation;
+      return a.parent->virtual_time != b.parent->virtual_time
+                 ? a.parent->virtual_time < b.parent->virtual_time
+                 : a.parent->organisation < b.parent->organisation;
     }
   };
   using flow_order =
@@ -157,23 +157,23 @@
   static constexpr size_t Index(urgency level) {
     return static_cast<size_t>(level);
   }
-  flow& FlowOf(int32_t organisation);
+  flow& FindOrCreateFlow(int32_t organisation);
   const flow* FindFlow(int32_t organisation) const;
-  class_flow& Admit(live_request& waiting);
-  class_flow* Choose(bool archive_allowed, double cost);
-  void Charge(flow& charged, double cost);
-  void Reorder(flow& moved, double virtual_time);
-  void Forget(class_flow& kind, live_request& waiting);
+  class_flow& AddToFlow(live_request& waiting);
+  class_flow* SelectNext(bool archive_allowed, double cost_us);
+  void Charge(flow& charged, double cost_us);
+  void SetVirtualTime(flow& moved, double virtual_time);
+  void RemoveFromFlow(class_flow& class_entry, live_request& waiting);
 
   // Declared before by_class_, whose orders link to the flows and must be
   // destroyed first.
   std::vector<std::unique_ptr<flow>> flows_;  // Indexed by organisation.
   std::array<class_state, kUrgencyCount> by_class_;
   double virtual_time_ = 0;
-  double last_cost_ = 0;
-  double waiting_share_ = 0;  // Sum of the shares of waiting organisations.
+  double last_cost_us_ = 0;
+  double waiting_share_sum_ = 0;  // Sum of the shares of waiting organisations.
   int size_ = 0;
-  int since_archive_ = 0;
+  int starts_since_archive_ = 0;
   time_point urgent_since_;
 };
 
--- a/include/foxtailspread/graceful_stop.h
+++ b/include/foxtailspread/graceful_stop.h
@@ -36,23 +36,23 @@
  public:
   /// `grace_period` is the time from the stop request until the process is
   /// killed.
-  explicit graceful_stop(duration grace) : grace_(grace) {}
+  explicit graceful_stop(duration grace_period) : grace_period_(grace_period) {}
 
   void Begin(time_point now) {
-    if (!began_) {
-      began_ = now;
+    if (!started_at_) {
+      started_at_ = now;
     }
   }
 
   /// Returns the phase at `now`. `has_pending_work` tells whether requests,
   /// connections or background duties remain.
-  stop_phase Phase(time_point now, bool work_left) const;
+  stop_phase Phase(time_point now, bool has_pending_work) const;
 
-  bool has_begun() const { return began_.has_value(); }
+  bool has_begun() const { return started_at_.has_value(); }
 
  private:
-  duration grace_;
-  std::optional<time_point> began_;
+  duration grace_period_;
+  std::optional<time_point> started_at_;
 };
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/host_io.h
+++ b/include/foxtailspread/host_io.h
@@ -75,7 +75,7 @@
 /// An attempt at a target ended.
 struct attempt_ended {
   uint64_t attempt_id = 0;
-  attempt_end end = attempt_end::kBroken;
+  attempt_outcome end = attempt_outcome::kConnectionBroken;
   int status = 0;
   /// The answer's body; empty unless the attempt had `keep_body` set.
   std::string body;
@@ -149,7 +149,7 @@
 /// The HTTP status of a forward's answer if the receiving host is not the
 /// steward of the range. It is not 421, because libsoup resends a request by
 /// itself after a 421.
-inline constexpr int kMisdirected = 410;
+inline constexpr int kNotStewardHttpStatus = 410;
 
 // --------------------------------------------------------------- actions
 
--- a/include/foxtailspread/host_messages.h
+++ b/include/foxtailspread/host_messages.h
@@ -61,9 +61,11 @@
 /// Summary of a host's copy of the store, for comparison with another host's.
 struct store_view {
   uint64_t config_revision = 0;
-  uint64_t targets = 0;  ///< Digest of the targets' entries, see DigestOf.
-  uint64_t owners = 0;   ///< Digest of the key owner records and the lease.
-  uint32_t age_ms = 0;   ///< Time since the copy was known to be current.
+  uint64_t targets_digest =
+      0;  ///< Digest of the targets' entries, see DigestOf.
+  uint64_t owners_digest =
+      0;                ///< Digest of the key owner records and the lease.
+  uint32_t age_ms = 0;  ///< Time since the copy was known to be current.
 
   bool operator==(const store_view&) const = default;
 };
@@ -72,8 +74,9 @@
 /// needs no store calls of its own; nothing if the view is too old for that.
 /// `drain_time` is how long a target that has announced that it is draining may
 /// still get requests.
-std::optional<time_point> VouchedUntil(const store_view& view, duration drain,
-                                       time_point now);
+std::optional<time_point> ViewValidUntil(const store_view& view,
+                                         duration drain_timeout,
+                                         time_point now);
 
 /// Heartbeat of the key assigner, which reads the store on behalf of all hosts:
 /// a host whose copy matches its view makes no store calls. Store calls are
@@ -87,7 +90,7 @@
   /// Number of hosts that share the limits for all hosts together. The lease
   /// holds this number as well, but hosts do not read it while heartbeats
   /// arrive.
-  size_t hosts = 1;
+  size_t host_count = 1;
   /// Absent if the lease holder has not read the evacuated zones.
   std::optional<evacuation_view> evacuated{};
 
@@ -101,9 +104,9 @@
 /// hosts.
 struct owners_record {
   std::string service;
-  uint64_t base = 0;      ///< The changes apply to this; 0 for none.
-  uint64_t revision = 0;  ///< Of the changed record in the store.
-  std::string content;    ///< As formatted by FormatKeyMap.
+  uint64_t base_revision = 0;  ///< The changes apply to this; 0 for none.
+  uint64_t revision = 0;       ///< Of the changed record in the store.
+  std::string content;         ///< As formatted by FormatKeyMap.
 
   bool operator==(const owners_record&) const = default;
 };
@@ -125,8 +128,8 @@
 /// `base_digest` ignores the message and detects the difference by the next
 /// heartbeat.
 struct targets_record {
-  uint64_t before = 0;  ///< Of the list that the changes apply to.
-  uint32_t age_ms = 0;  ///< Age of the sender's copy with the changes.
+  uint64_t base_digest = 0;  ///< Of the list that the changes apply to.
+  uint32_t age_ms = 0;       ///< Age of the sender's copy with the changes.
   std::vector<shared_entry> changes;
 
   bool operator==(const targets_record&) const = default;
@@ -135,13 +138,13 @@
 /// Kinds of store objects that hosts send to each other.
 enum class shared_kind : uint8_t {
   kDeclarations,  ///< The operator's desired configuration.
-  kOwn,           ///< An object that the hosts maintain themselves.
+  kSystem,        ///< An object that the hosts maintain themselves.
 };
 
 /// An object that the sender has just written to the store or read from it,
 /// sent so that the other hosts need no call.
 struct shared_object {
-  shared_kind kind = shared_kind::kOwn;
+  shared_kind kind = shared_kind::kSystem;
   std::string name;
   uint64_t revision = 0;  ///< Of the object in the store.
   std::string content;    ///< JSON, as in the store.
--- a/include/foxtailspread/hot_keys.h
+++ b/include/foxtailspread/hot_keys.h
@@ -56,7 +56,7 @@
     boost::intrusive::set_member_hook<> order_hook;
     boost::intrusive::unordered_set_member_hook<> key_hook;
   };
-  struct fewer {
+  struct has_lower_count {
     bool operator()(const counter& a, const counter& b) const {
       return a.count < b.count;
     }
@@ -69,7 +69,7 @@
       counter,
       boost::intrusive::member_hook<
           counter, boost::intrusive::set_member_hook<>, &counter::order_hook>,
-      boost::intrusive::compare<fewer>>;
+      boost::intrusive::compare<has_lower_count>>;
   using counter_index = boost::intrusive::unordered_set<
       counter,
       boost::intrusive::member_hook<
@@ -79,13 +79,13 @@
 
   /// Returns a counter for a new key: an unused one, or that of the least
   /// frequent key.
-  counter& Replace(uint64_t key_hash, int32_t bucket);
+  counter& AssignCounter(uint64_t key_hash, int32_t bucket);
 
   std::vector<counter> counters_;
   std::vector<counter_index::bucket_type> index_buckets_;
   counter_order by_count_;
   counter_index by_key_;
-  size_t used_ = 0;
+  size_t used_counters_ = 0;
   double total_ = 0;
 };
 
--- a/include/foxtailspread/key_assigner.h
+++ b/include/foxtailspread/key_assigner.h
@@ -39,7 +39,7 @@
 /// users have seen; in a longer one keys lose their owners. A larger value
 /// makes a new holder wait longer before it reassigns the keys of targets that
 /// it cannot reach.
-inline constexpr duration kKeepAfterLapse{std::chrono::seconds{10}};
+inline constexpr duration kMaxRenewalAfterLapse{std::chrono::seconds{10}};
 
 /// How long the lease is valid, measured by its holder from the start of its
 /// last successful write. Two consecutive renewals may fail within a term.
@@ -47,7 +47,7 @@
 
 /// How long a stopping host may keep renewing its grants while the store has
 /// not confirmed that the lease was released. Its process has ended by then.
-inline constexpr duration kLeaveTime{std::chrono::seconds{6}};
+inline constexpr duration kLeaseReleaseTimeout{std::chrono::seconds{6}};
 
 /// A host that held the lease before and may still renew its grants.
 struct former_holder {
@@ -56,18 +56,18 @@
   /// that contains this value. Each new holder continues this countdown. If
   /// each restarted it, the keys of a lost target would have no owner for as
   /// long as the lease kept changing hands.
-  duration may_renew{};
+  duration renewal_time_left{};
 
   bool operator==(const former_holder&) const = default;
 };
 
 /// The lease as stored.
 struct assigner_lease {
-  std::string host;      ///< The holder.
-  std::string address;   ///< Where the holder receives load reports, "IP:port".
-  uint64_t renewal = 0;  ///< Number of writes; makes each write a change.
+  std::string host;     ///< The holder.
+  std::string address;  ///< Where the holder receives load reports, "IP:port".
+  uint64_t renewal_count = 0;  ///< Number of writes; makes each write a change.
   bool released = false;  ///< Given up by its holder; free to take at once.
-  size_t hosts = 1;       ///< Number of hosts that report to the holder.
+  size_t host_count = 1;  ///< Number of hosts that report to the holder.
   /// Former holders that may still be renewing their grants.
   std::vector<former_holder> predecessors{};
 
@@ -86,7 +86,7 @@
 };
 
 /// The outcome of a conditional write.
-enum class write_end {
+enum class conditional_write_outcome {
   kWritten,
   kConflict,  ///< The object has another revision; the report has its content.
   kRefused,   ///< The store rejected the write without effect.
@@ -95,7 +95,7 @@
 
 struct write_report {
   uint64_t id = 0;
-  write_end end = write_end::kUnknown;
+  conditional_write_outcome outcome = conditional_write_outcome::kUnknown;
   uint64_t revision = 0;  ///< Set for kWritten and kConflict.
   std::string content{};  ///< Set for kConflict.
 };
@@ -104,23 +104,24 @@
 /// (release).
 struct key_order {
   uint64_t id = 0;
-  bool grant = true;
+  bool is_grant = true;
   target_life target{};
   std::string address{};
   key_point first = 0;
   key_point last = 0;
   fence_number fence = 0;
-  duration hold{};         ///< Validity of a grant.
-  std::string handover{};  ///< For a grant: the former owner's token, if any.
+  duration grant_ttl{};  ///< Validity of a grant.
+  std::string
+      handover_token{};  ///< For a grant: the former owner's token, if any.
   /// If not 0, the order must be sent on a connection whose number is at most
   /// this one, or not at all. Such a connection leads to a process that was
   /// running while this host's lease was valid and that refuses the order if
   /// the keys were moved since. A restarted process has no record of fences.
-  uint64_t newest_connection = 0;
+  uint64_t max_connection_number = 0;
 };
 
 /// The outcome of an order.
-enum class order_end {
+enum class order_outcome {
   kDone,
   kFenced,      ///< The target has seen a higher fence for one of the keys.
   kRejected,    ///< The target does not accept such orders.
@@ -130,7 +131,7 @@
 };
 
 /// Returns the name of an outcome in lower case, for the log.
-std::string_view ToString(order_end end);
+std::string_view ToString(order_outcome outcome);
 
 /// Cancels an order: its connection is closed and unsent data is discarded.
 struct order_cancel {
@@ -139,9 +140,10 @@
 
 struct order_report {
   uint64_t id = 0;
-  order_end end = order_end::kUnanswered;
-  std::string handover{};   ///< For a release: the target's token, if any.
-  uint64_t connection = 0;  ///< Number of the connection that was answered on.
+  order_outcome outcome = order_outcome::kUnanswered;
+  std::string handover_token{};  ///< For a release: the target's token, if any.
+  uint64_t connection_number =
+      0;  ///< Number of the connection that was answered on.
 };
 
 /// A decision or event for the operator's log.
@@ -156,7 +158,7 @@
     kKeysFree,
     kOrderFailed,
   };
-  kind what = kind::kLeaseTaken;
+  kind note_kind = kind::kLeaseTaken;
   std::string service{};
   std::string target{};
   key_point first = 0;
@@ -174,20 +176,20 @@
 };
 
 /// Sends an owners record that was written to the store to all other hosts.
-struct share_action {
+struct share_owners_action {
   owners_record record{};
   std::vector<fanout_hop> hops{};
 };
 
 /// Sends the list of known hosts to a successor.
-struct hosts_action {
+struct share_hosts_action {
   std::string address{};
   hosts_record record{};
 };
 
 using assigner_action =
     std::variant<store_write, key_order, order_cancel, heartbeat_action,
-                 share_action, hosts_action, assigner_note>;
+                 share_owners_action, share_hosts_action, assigner_note>;
 using assigner_actions = std::vector<assigner_action>;
 
 /// Settings of a key_assigner.
@@ -200,8 +202,8 @@
   /// do not, released keys stay without an owner until every grant that may
   /// still be executed has expired.
   bool targets_keep_release_fences = false;
-  duration hold{std::chrono::seconds{3}};  ///< Validity of a grant.
-  double link_mbps = 1000.0;               ///< Bandwidth of this host's link.
+  duration grant_ttl{std::chrono::seconds{3}};  ///< Validity of a grant.
+  double link_mbps = 1000.0;  ///< Bandwidth of this host's link.
   uint64_t seed = 1;  ///< Staggers the hosts' attempts to take the lease.
 };
 
@@ -215,23 +217,23 @@
 /// @endcode
 class key_assigner {
  public:
-  using own_objects = std::map<std::string, store_object<std::string>>;
+  using system_objects = std::map<std::string, store_object<std::string>>;
 
   explicit key_assigner(assigner_settings settings);
 
   /// Updates the state from the system objects in the store. Fails, once for
   /// each revision, if an object cannot be parsed; the others are still used.
-  status OnObjects(const own_objects& objects, time_point now);
+  status OnObjects(const system_objects& objects, time_point now);
   /// Sets whether the store is reachable from this host.
-  void OnStoreAnswers(bool answers, time_point now);
+  void OnStoreAvailability(bool available, time_point now);
 
   /// Sets the declared services.
   void OnServices(const std::vector<service_settings>& services);
 
   /// Sets the targets of all services. `may_be_incomplete` is true shortly
   /// after a store outage, when missing targets may reappear within seconds.
-  void OnTargets(const std::vector<target_entry>& targets, bool doubtful,
-                 time_point now);
+  void OnTargets(const std::vector<target_entry>& targets,
+                 bool may_be_incomplete, time_point now);
 
   /// Sets the evacuated availability zones. Keys are moved away from targets
   /// in these zones.
@@ -245,7 +247,7 @@
   /// record that is based on another revision than this host has is ignored.
   status OnOwners(const owners_record& record);
   /// Makes the next heartbeat due at once, because its content has changed.
-  void HeartbeatSoon() { heartbeat_at_ = {}; }
+  void RequestHeartbeat() { next_heartbeat_at_ = {}; }
 
   void OnWriteEnded(const write_report& report, time_point now,
                     assigner_actions& out);
@@ -263,8 +265,10 @@
 
   /// Releases the lease before this host stops. IsReleasingLease() is true
   /// until the store has confirmed the release.
-  void Leave(time_point now, assigner_actions& out);
-  bool BusyLeaving() const { return leaving_ && lease_write_.has_value(); }
+  void PrepareToStop(time_point now, assigner_actions& out);
+  bool IsReleasingLease() const {
+    return stopping_ && lease_write_.has_value();
+  }
 
   bool IsHolder(time_point now) const { return now < held_until_; }
   /// Returns the number of known hosts, at least 1.
@@ -292,8 +296,8 @@
     uint64_t id = 0;
     std::string name{};
     std::string content{};
-    uint64_t expected = 0;
-    time_point first_sent{};
+    uint64_t expected_revision = 0;
+    time_point first_sent_at{};
     bool in_flight = false;
     time_point retry_at{};
   };
@@ -301,22 +305,22 @@
   /// Progress of the transfer of one range to its new owner. It is kept in
   /// memory by the lease holder; a new holder starts again with the release.
   struct transfer {
-    bool let_go = false;     ///< The former owner can no longer hold the keys.
-    bool offered = false;    ///< This host has sent a grant to the new owner.
-    bool confirmed = false;  ///< The new owner has accepted the grant.
-    bool fenced = false;     ///< The new owner has seen a higher fence.
+    bool keys_free = false;   ///< The former owner can no longer hold the keys.
+    bool grant_sent = false;  ///< This host has sent a grant to the new owner.
+    bool grant_confirmed = false;  ///< The new owner has accepted the grant.
+    bool grant_fenced = false;     ///< The new owner has seen a higher fence.
     /// Started by a former lease holder, which may have sent the grant.
     bool inherited = true;
     /// The former owner has answered the release.
-    bool released = false;
-    std::string handover;
-    uint64_t order = 0;  ///< The pending order, or 0.
+    bool release_answered = false;
+    std::string handover_token;
+    uint64_t order_id = 0;  ///< The pending order, or 0.
     time_point retry_at{};
   };
 
-  struct renewal {
-    uint64_t order = 0;  ///< The pending order, or 0.
-    time_point due{};
+  struct renewal_state {
+    uint64_t order_id = 0;  ///< The pending order, or 0.
+    time_point due_at{};
   };
 
   using range_id = std::pair<fence_number, key_point>;
@@ -325,14 +329,14 @@
     std::string name;
     key_map map;            ///< As recorded in the store.
     uint64_t revision = 0;  ///< Of the record; 0 if there is none.
-    std::optional<pending_write> write;
-    key_map draft;    ///< The map that `record_write` writes.
-    key_map changes;  ///< The differences of `pending_map` from `map`.
+    std::optional<pending_write> record_write;
+    key_map pending_map;      ///< The map that `record_write` writes.
+    key_map pending_changes;  ///< The differences of `pending_map` from `map`.
     std::map<range_id, transfer> transfers;
-    std::map<range_id, renewal> renewals;
+    std::map<range_id, renewal_state> renewals;
     key_load load;
     time_point balanced_at{};
-    time_point refined_at{};
+    time_point steady_balanced_at{};
     cold_policy cold;
   };
 
@@ -341,38 +345,39 @@
     bool listed = false;
     time_point first_listed{};
     std::optional<time_point> missing_since;
-    int failed_orders = 0;  ///< Failed orders since the last answered one.
+    int consecutive_failures =
+        0;  ///< Failed orders since the last answered one.
     time_point failing_since{};
     /// The sequence number of its entry when its orders began to fail.
-    uint64_t failed_sequence = 0;
-    int orders = 0;           ///< Grants without an outcome yet.
+    uint64_t sequence_at_failure = 0;
+    int pending_grants = 0;   ///< Grants without an outcome yet.
     double latency_us = 0.0;  ///< Running mean over all hosts' requests.
     /// Upper bound for the expiry of this host's grants that have an outcome.
-    time_point held_until{};
+    time_point grants_expire_at{};
     /// The same for the grants that were not answered.
-    time_point unanswered_until{};
+    time_point unanswered_grants_expire_at{};
     target_availability availability;
     /// When it last answered an order that this host sent as lease holder.
-    time_point answered_at{};
+    time_point last_answer_at{};
   };
 
   struct order_context {
     std::string service;
     range_id range;
-    key_point last = 0;
+    key_point last_key = 0;
     std::string target;
-    bool grant = true;
-    bool renews = false;
+    bool is_grant = true;
+    bool is_renewal = false;
     /// A release that was sent to the former owner itself rather than to a
     /// later process of the same target.
-    bool hands_over = false;
+    bool is_former_owner = false;
     time_point deadline{};
   };
 
   cold_policy ColdPolicyFor(const target_entry& entry) const;
-  static void AddLatency(target_state& target, const target_latency& seen);
+  static void AddLatency(target_state& target, const target_latency& sample);
   static std::string LifeKey(const target_life& life);
-  target_state* StateOf(const target_life& life);
+  target_state* FindTarget(const target_life& life);
   bool IsUsable(const target_life& life, time_point now) const;
   /// Returns the listed process that started later under the same id, nullptr
   /// if there is none. If there is one, the process `life` has ended.
@@ -384,87 +389,92 @@
   bool IsAddressReused(const target_life& life) const;
   /// Returns an upper bound for the time, by this host's clock, that a grant
   /// is valid after its arrival, given the error of the target's clock.
-  duration LongestHold() const;
+  duration MaxGrantValidity() const;
   /// Returns when all grants of former lease holders have expired.
-  time_point InheritedUntil() const;
+  time_point InheritedGrantsExpireAt() const;
   /// Returns when all grants to the target have expired.
-  time_point HeldUntil(const target_life& life) const;
+  time_point GrantsExpireAt(const target_life& life) const;
   /// Returns the reason why the former owner of `range` can no longer hold its
   /// keys; empty if it may still hold them.
-  std::string_view WhyFree(const key_range& range, const transfer& state,
-                           time_point now) const;
+  std::string_view KeysFreeReason(const key_range& range, const transfer& state,
+                                  time_point now) const;
   /// Returns whether an answered release proves that the former owner does not
   /// hold the keys and that no grant in transit can give them back to it.
-  bool IsReleaseProof(const target_life& former, time_point now) const;
+  bool IsReleaseConclusive(const target_life& former, time_point now) const;
   /// Returns whether a grant of keys in `range` to `life` has no outcome yet.
-  bool IsGrantUnderWay(const target_life& life, const key_range& range) const;
+  bool IsGrantPending(const target_life& life, const key_range& range) const;
   /// Returns the owners that have not answered an order since this host took
   /// the lease, by LifeKey(). A network partition may separate them from it.
-  std::set<std::string> SilentOwners(const std::string& service) const;
-  std::vector<balance_target> Candidates(const std::string& service,
-                                         time_point now) const;
-
-  void StepLease(time_point now, assigner_actions& out);
-  void NoteAble(time_point now);
-  bool MayTake(time_point now) const;
-  void Release(time_point now, assigner_actions& out);
+  std::set<std::string> UnansweringOwners(const std::string& service) const;
+  std::vector<balance_target> BalanceCandidates(const std::string& service,
+                                                time_point now) const;
+
+  void UpdateLease(time_point now, assigner_actions& out);
+  void UpdateReadiness(time_point now);
+  bool MayTakeLease(time_point now) const;
+  void ReleaseLease(time_point now, assigner_actions& out);
   void WriteLease(const assigner_lease& next, time_point now,
                   assigner_actions& out);
-  void Send(pending_write& write, time_point now, assigner_actions& out);
+  void SendWrite(pending_write& write, time_point now, assigner_actions& out);
   void RetryWrite(std::optional<pending_write>& write, time_point now,
                   assigner_actions& out);
   void OnLeaseWritten(const write_report& report, time_point now,
                       assigner_actions& out);
-  void OnMapWritten(keyed_service& of, const write_report& report,
+  void OnMapWritten(keyed_service& service, const write_report& report,
                     time_point now, assigner_actions& out);
-  void LoseLease(assigner_actions& out);
-  void Lapse(assigner_actions& out);
+  void OnLeaseLost(assigner_actions& out);
+  void OnLeaseLapsed(assigner_actions& out);
   void SendHeartbeat(time_point now, assigner_actions& out);
   void ShareHosts(time_point now, assigner_actions& out);
-  void TakeHosts(time_point now);
+  void AdoptSharedHosts(time_point now);
   void ChooseSuccessors(time_point now);
   std::vector<std::string> SuccessorCandidates(time_point now) const;
   duration TakeoverDelay() const;
-  bool MayFollow(time_point now) const;
+  bool MaySucceed(time_point now) const;
   std::vector<former_holder> Predecessors(time_point now) const;
   bool IsFailing(const target_state& state, time_point now) const;
-  void ForgetFailedOrders();
-  void NoteOrder(target_state& state, const order_context& context,
-                 const order_report& report, time_point now);
-  void ReportFailure(const order_context& context, order_end end,
-                     assigner_actions& out) const;
-  void EndLateOrders(time_point now, assigner_actions& out);
-
-  void StepService(keyed_service& of, time_point now, assigner_actions& out);
-  void StepRange(keyed_service& of, const key_range& range, time_point now,
-                 assigner_actions& out);
-  static bool IsBeingReplaced(const keyed_service& of, const key_range& range);
-  void Renew(keyed_service& of, const key_range& range, time_point now,
-             assigner_actions& out);
-  bool PlanChanges(keyed_service& of, key_map& draft, time_point now,
+  void ResetFailureCounts();
+  void RecordOrderOutcome(target_state& state, const order_context& context,
+                          const order_report& report, time_point now);
+  void NoteOrderFailure(const order_context& context, order_outcome outcome,
+                        assigner_actions& out) const;
+  void CancelOverdueOrders(time_point now, assigner_actions& out);
+
+  void UpdateService(keyed_service& service, time_point now,
+                     assigner_actions& out);
+  void UpdateTransfer(keyed_service& service, const key_range& range,
+                      time_point now, assigner_actions& out);
+  static bool IsBeingReplaced(const keyed_service& service,
+                              const key_range& range);
+  void RenewGrant(keyed_service& service, const key_range& range,
+                  time_point now, assigner_actions& out);
+  bool PlanChanges(keyed_service& service, key_map& draft, time_point now,
+                   assigner_actions& out);
+  bool ReplaceOwners(keyed_service& service, key_map& draft, time_point now,
+                     assigner_actions& out);
+  bool ConfirmGrants(keyed_service& service, key_map& draft,
+                     assigner_actions& out);
+  bool BalanceLoad(keyed_service& service, key_map& draft, time_point now,
                    assigner_actions& out);
-  bool ReplaceOwners(keyed_service& of, key_map& draft, time_point now,
+  std::vector<key_move> PlanBalancingMoves(keyed_service& service,
+                                           const key_map& draft,
+                                           time_point now);
+  static assigner_note MakeNote(assigner_note::kind note_kind,
+                                const keyed_service& service,
+                                const key_range& range,
+                                const std::string& target);
+  void Reassign(keyed_service& service, key_map& draft, key_range& range,
+                const target_life& new_owner);
+  uint64_t SendOrder(keyed_service& service, const key_range& range,
+                     bool is_grant, bool is_renewal, const target_life& target,
+                     const std::string& handover_token, time_point now,
                      assigner_actions& out);
-  bool ConfirmGrants(keyed_service& of, key_map& draft, assigner_actions& out);
-  bool Balance(keyed_service& of, key_map& draft, time_point now,
-               assigner_actions& out);
-  std::vector<key_move> PlanBalance(keyed_service& of, const key_map& draft,
-                                    time_point now);
-  static assigner_note NoteOf(assigner_note::kind what, const keyed_service& of,
-                              const key_range& range,
-                              const std::string& target);
-  void Reassign(keyed_service& of, key_map& draft, key_range& range,
-                const target_life& to);
-  uint64_t Order(keyed_service& of, const key_range& range, bool grant,
-                 bool renews, const target_life& to,
-                 const std::string& handover, time_point now,
-                 assigner_actions& out);
   static range_id IdOf(const key_range& range) {
     return {range.fence, range.first};
   }
 
   assigner_settings settings_;
-  bool store_answers_ = false;
+  bool store_available_ = false;
   std::optional<assigner_lease> lease_;
   uint64_t lease_revision_ = 0;
   /// When the holder's last write or heartbeat was noticed. Never before the
@@ -472,26 +482,26 @@
   time_point lease_seen_at_{};
   /// When `lease_` was read. Heartbeats do not carry the whole lease.
   time_point lease_read_at_{};
-  time_point lease_taken_at_{};  ///< When the lease last changed hands.
+  time_point holder_changed_at_{};  ///< When the lease last changed hands.
   bool objects_read_ = false;
-  std::optional<time_point> able_since_;
+  std::optional<time_point> ready_since_;
   std::optional<pending_write> lease_write_;
   time_point held_until_{};
-  time_point renew_at_{};
+  time_point next_lease_renewal_at_{};
   /// Until when this host renews its grants without holding the lease.
-  time_point keeping_until_{};
+  time_point renewing_until_{};
   /// The highest number of a connection on which an order was answered while
   /// this host held the lease.
-  uint64_t newest_connection_ = 0;
-  time_point taken_at_{};
+  uint64_t max_connection_number_ = 0;
+  time_point acquired_at_{};
   /// The revision of the write by which this host took the lease.
-  uint64_t acting_from_revision_ = 0;
+  uint64_t acquired_revision_ = 0;
   /// Whether the objects have been read at that revision or a later one.
-  bool synced_since_taken_ = false;
+  bool synced_since_acquired_ = false;
   /// Whether this host acted as the holder in the last update. The lease may
   /// have lapsed since; see IsHolder().
   bool was_holder_ = false;
-  bool leaving_ = false;
+  bool stopping_ = false;
   std::map<std::string, keyed_service> services_;
   std::set<std::string> service_names_;  ///< All, including those not keyed.
   std::set<std::string> evacuated_zones_;
@@ -501,24 +511,24 @@
     std::string address;
     uint64_t lease_revision = 0;
     double link_mbps = 0.0;
-    time_point seen{};
+    time_point last_seen{};
   };
   std::map<std::string, host_state> hosts_seen_;
   /// The hosts that the holder knows, sent to successors so that they can take
   /// over from it.
-  hosts_record hosts_told_;
-  time_point hosts_told_at_{};
-  time_point share_hosts_at_{};
+  hosts_record shared_hosts_;
+  time_point shared_hosts_at_{};
+  time_point next_hosts_share_at_{};
   std::vector<std::string> successors_;
-  time_point heartbeat_at_{};
-  std::optional<assigner_heartbeat> heartbeat_heard_;
-  time_point heartbeat_heard_at_{};
+  time_point next_heartbeat_at_{};
+  std::optional<assigner_heartbeat> last_heartbeat_;
+  time_point last_heartbeat_at_{};
   /// Hosts that held the lease before, with the time from which each no longer
   /// renews its grants.
   std::map<std::string, time_point> predecessors_;
   std::map<uint64_t, order_context> orders_;
   uint64_t last_id_ = 0;
-  bool doubtful_ = false;
+  bool targets_may_be_incomplete_ = false;
   bool services_known_ = false;
 };
 
--- a/include/foxtailspread/key_balance.h
+++ b/include/foxtailspread/key_balance.h
@@ -29,24 +29,24 @@
 struct key_move {
   key_point first = 0;
   key_point last = 0;  ///< Inclusive.
-  target_life to;
+  target_life new_owner;
 };
 
 /// Thresholds for planning moves.
 struct balance_limits {
   /// A target gives keys away if its load is above this multiple of its fair
   /// share. Moving keys for less costs more requests than it saves.
-  double overload = 1.25;
+  double overload_ratio = 1.25;
   /// A target receives keys if its load is below this fraction of its fair
   /// share.
-  double underload = 0.6;
+  double underload_ratio = 0.6;
   /// Smallest load worth moving, in requests per second. A smaller difference
   /// is random variation.
-  double least_load = 3.0;
+  double min_moved_load = 3.0;
   /// Time constant of the moving average that measured the loads; 0 for exact
   /// loads. Differences within the random variation of that average move no
   /// keys: among hundreds of targets some always look overloaded or idle.
-  duration averaged{0};
+  duration load_time_constant{0};
 };
 
 /// Load of each key in requests per second; empty if there is no load.
@@ -61,8 +61,8 @@
 
 /// Returns the first map of a service: all keys, distributed in proportion to
 /// capacity, with `first_fence` as the fence of each range.
-key_map DealKeys(std::span<const balance_target> targets,
-                 fence_number first_fence);
+key_map MakeInitialKeyMap(std::span<const balance_target> targets,
+                          fence_number first_fence);
 
 /// Returns the target with the lowest ratio of load to capacity, or nullptr if
 /// `targets` is empty. `loads` may be empty.
--- a/include/foxtailspread/key_load.h
+++ b/include/foxtailspread/key_load.h
@@ -27,33 +27,34 @@
   /// Time constants of the two averages. The recent one follows keys that
   /// become busy within a second; the steady one shows the differences that
   /// remain, without mistaking random variation for one.
-  static constexpr duration kRecentTime{std::chrono::milliseconds{700}};
-  static constexpr duration kSteadyTime{std::chrono::milliseconds{4700}};
+  static constexpr duration kRecentTimeConstant{std::chrono::milliseconds{700}};
+  static constexpr duration kSteadyTimeConstant{
+      std::chrono::milliseconds{4700}};
 
   /// Counts `count` requests for `key`; ignores keys out of range.
   void Add(uint32_t key, uint32_t count);
 
   /// Adds the counts to the averages if enough time has passed since the last
   /// update. Returns whether it updated them.
-  bool Average(time_point now);
+  bool UpdateAverages(time_point now);
 
   /// Request rate of each key in requests per second, averaged over about the
   /// last second and over the last several seconds. Empty until the first
   /// update.
-  key_loads recent() const { return recent_; }
-  key_loads steady() const { return steady_; }
+  key_loads recent_rates() const { return recent_rates_; }
+  key_loads steady_rates() const { return steady_rates_; }
 
  private:
   /// Returns the requests expected in a block of keys within `seconds`.
-  double ExpectedOf(size_t block, double seconds) const;
+  double ExpectedCount(size_t block, double seconds) const;
   /// Whether the requests counted for a block exceed the expected number by
   /// more than random variation explains.
   bool HasJumped(size_t block, double seconds) const;
 
-  std::vector<double> recent_;
-  std::vector<double> steady_;
+  std::vector<double> recent_rates_;
+  std::vector<double> steady_rates_;
   std::vector<uint32_t> counts_;  ///< Requests since `count_start_`.
-  time_point counted_from_{};
+  time_point count_start_{};
 };
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/key_map.h
+++ b/include/foxtailspread/key_map.h
@@ -24,7 +24,7 @@
 inline constexpr key_point kLastKey = std::numeric_limits<key_point>::max();
 
 /// Size of the key space.
-inline constexpr size_t kKeys = size_t{kLastKey} + 1;
+inline constexpr size_t kKeyCount = size_t{kLastKey} + 1;
 
 /// A fencing token: of two grants of a key the one with the higher number is
 /// the newer. A number is never used for two different grants.
@@ -49,7 +49,7 @@
   bool granted = false;
   /// Set until the previous owner has given up the keys. Only then may they be
   /// granted to `owner`.
-  std::optional<target_life> former{};
+  std::optional<target_life> former_owner{};
 
   bool Contains(key_point key) const { return first <= key && key <= last; }
   bool operator==(const key_range&) const = default;
@@ -79,21 +79,22 @@
 result<key_map> ParseKeyChanges(std::string_view text);
 
 /// Returns the ranges of `after` that `before` does not have.
-key_map KeyChanges(const key_map& before, const key_map& after);
+key_map DiffKeyMaps(const key_map& before, const key_map& after);
 /// Returns `before` with the keys covered by `changes` replaced. Fails if the
 /// result is not a complete map because the changes are based on another map.
-result<key_map> WithKeyChanges(const key_map& before, const key_map& changes);
+result<key_map> ApplyKeyChanges(const key_map& before, const key_map& changes);
 
 /// Merges adjacent ranges that differ only in their bounds.
-void JoinEqualNeighbours(key_map& map);
+void MergeEqualNeighbours(key_map& map);
 
 /// Splits the range that contains `at` so that a range begins at `at`.
-void CutBefore(key_map& map, key_point at);
+void SplitBefore(key_map& map, key_point at);
 
 /// Splits ranges so that one begins at `first` and one ends at `last`, and
 /// returns those from `first` to `last`. The span is valid until the ranges of
 /// the map change.
-std::span<key_range> CutOut(key_map& map, key_point first, key_point last);
+std::span<key_range> SplitAtBounds(key_map& map, key_point first,
+                                   key_point last);
 
 }  // namespace foxtailspread
 
--- a/include/foxtailspread/object_cache.h
+++ b/include/foxtailspread/object_cache.h
@@ -42,7 +42,7 @@
 
   /// Applies one change, as read or written by this host itself. The cache's
   /// revision stays. Returns false if the cached object is as new or newer.
-  bool ApplyOne(const object_change& change);
+  bool ApplyChange(const object_change& change);
 
   /// Returns the changes after revision `since`. Removed objects are kept as
   /// tombstones, so that removals are relayed as well.
--- a/include/foxtailspread/object_store.h
+++ b/include/foxtailspread/object_store.h
@@ -20,13 +20,13 @@
 namespace foxtailspread {
 
 /// The largest size of an object's value, in bytes.
-inline constexpr size_t kMaxObjectValue = size_t{1} << 20;
+inline constexpr size_t kMaxObjectValueBytes = size_t{1} << 20;
 
 /// The longest key of an object, in bytes.
-inline constexpr size_t kMaxObjectKey = 512;
+inline constexpr size_t kMaxObjectKeyBytes = 512;
 
 /// The longest wait of a watch; longer ones are shortened to it.
-inline constexpr duration kMaxWatchTime{std::chrono::seconds{30}};
+inline constexpr duration kMaxWatchWait{std::chrono::seconds{30}};
 
 /// The revision of an object that does not exist.
 inline constexpr uint64_t kNoRevision = 0;
@@ -112,15 +112,15 @@
   std::vector<watch_ticket> TakeDue(uint64_t revision, time_point now);
 
   /// The earliest end of a wait; time_point::max() if no watch waits.
-  time_point NextEvent() const;
+  time_point NextTimeout() const;
 
  private:
   struct watch {
     uint64_t since;
-    time_point until;
+    time_point deadline;
   };
 
-  watch_ticket last_ = 0;
+  watch_ticket last_ticket_ = 0;
   std::map<watch_ticket, watch> watches_;
 };
 
@@ -132,12 +132,12 @@
   token_bucket(double rate, time_point start);
 
   /// Takes one token, or returns false if there is none.
-  bool Take(time_point now);
+  bool TryTake(time_point now);
 
  private:
-  double rate_;
+  double calls_per_second_;
   double tokens_;
-  time_point filled_;
+  time_point last_refill_time_;
 };
 
 /// The kinds of calls, which have separate rate limits.
@@ -161,13 +161,13 @@
 
   /// Counts the latest admitted read as a watch instead, because it has to
   /// wait.
-  void ReadBecameWatch();
+  void RecountReadAsWatch();
 
   const call_counts& Counts() const { return counts_; }
 
  private:
-  token_bucket reads_;
-  token_bucket writes_;
+  token_bucket read_limiter_;
+  token_bucket write_limiter_;
   call_counts counts_;
 };
 
@@ -186,7 +186,7 @@
 /// The platform's list of hosts. Each change becomes visible only after a lag.
 class host_list {
  public:
-  explicit host_list(duration lag) : lag_(lag) {}
+  explicit host_list(duration lag) : visibility_lag_(lag) {}
 
   /// Adds or replaces a host; the change is visible from `now` plus the lag.
   void Put(listed_host host, time_point now);
@@ -196,11 +196,11 @@
 
  private:
   struct pending_change {
-    time_point visible;
+    time_point visible_at;
     listed_host host;
   };
 
-  duration lag_;
+  duration visibility_lag_;
   std::deque<pending_change> pending_;
   std::map<std::string, listed_host> visible_;
 };
@@ -213,10 +213,10 @@
   std::vector<std::string> drop_clients{};  ///< Zones that are cut off.
 
   /// Whether a call from `zone` is cut off; "" if the caller gave no zone.
-  bool Drops(std::string_view zone) const;
+  bool DropsCallsFrom(std::string_view zone) const;
 
   /// Decrements lose_write_answers. Returns false if it was 0 already.
-  bool LoseWriteAnswer();
+  bool ConsumeLostWriteAnswer();
 };
 
 /// Parses the body of `POST /admin/faults`. Fields that it lacks keep the
--- a/include/foxtailspread/object_sync.h
+++ b/include/foxtailspread/object_sync.h
@@ -43,16 +43,17 @@
 /// Exponential backoff: doubles the retry delay with each failure.
 class backoff {
  public:
-  backoff(duration first, duration most) : first_(first), most_(most) {}
+  backoff(duration first, duration most)
+      : initial_delay_(first), max_delay_(most) {}
 
   /// Records a failure and returns the delay before the next attempt.
-  duration Fail();
-  void Succeed() { pause_ = duration{0}; }
+  duration RecordFailure();
+  void RecordSuccess() { delay_ = duration{0}; }
 
  private:
-  duration first_;
-  duration most_;
-  duration pause_{0};
+  duration initial_delay_;
+  duration max_delay_;
+  duration delay_{0};
 };
 
 /// The object cache, the watch and the conditional writes of one host.
@@ -67,8 +68,8 @@
 
   /// Handles the end of a platform call that this class started. Returns the
   /// changes that the cache did not have yet.
-  std::vector<object_change> OnPlatform(const platform_ended& ended,
-                                        time_point now);
+  std::vector<object_change> OnPlatformEnded(const platform_ended& ended,
+                                             time_point now);
 
   /// Applies a batch relayed by a neighbour. Returns the changes that the
   /// cache did not have yet.
@@ -80,7 +81,7 @@
   /// Returns the newest beacon of this zone, if any.
   const std::optional<watch_beacon>& beacon() const { return beacon_; }
   /// True when `beacon()` changed since the last call.
-  bool TakeBeaconNews();
+  bool TakeBeaconChanged();
 
   /// Writes `value` to `key` on the condition that the cached revision is still
   /// the platform's. At most one call per key is in flight. A failed write is
@@ -97,41 +98,41 @@
   /// True if the platform answered this host's last call.
   bool platform_answers() const { return platform_answers_; }
   /// The number of platform calls started so far.
-  uint64_t calls() const { return next_call_ - 1; }
+  uint64_t calls() const { return next_call_id_ - 1; }
 
  private:
   struct write_state {
-    uint64_t call_id = 0;    ///< 0 if no call is in flight.
-    bool must_read = false;  ///< The last write may have taken effect.
-    time_point not_before{};
-    backoff pause;
+    uint64_t call_id = 0;          ///< 0 if no call is in flight.
+    bool must_read_first = false;  ///< The last write may have taken effect.
+    time_point next_attempt_time{};
+    backoff retry_backoff;
   };
 
   bool IsWatcher() const { return beacon_ && beacon_->watcher == host_; }
   void StartWatch(time_point now, action_list& out);
   bool ShouldWatch(time_point now, size_t rank) const;
-  std::vector<object_change> OnWatch(const platform_ended& ended,
-                                     time_point now);
-  std::vector<object_change> OnWritten(const std::string& key,
-                                       const platform_ended& ended,
-                                       time_point now);
+  std::vector<object_change> OnWatchEnded(const platform_ended& ended,
+                                          time_point now);
+  std::vector<object_change> OnWriteCallEnded(const std::string& key,
+                                              const platform_ended& ended,
+                                              time_point now);
 
   std::string host_;
   std::string zone_;
   sync_timing timing_;
   object_cache cache_;
   std::optional<watch_beacon> beacon_;
-  bool beacon_news_ = false;
-  time_point beacon_at_{};
+  bool beacon_changed_ = false;
+  time_point last_beacon_time_{};
   bool started_ = false;
   bool synced_ = false;
   bool platform_answers_ = false;
-  uint64_t next_call_ = 1;
-  uint64_t watch_call_ = 0;
-  uint64_t list_call_ = 0;
-  time_point next_list_{};
-  time_point watch_not_before_{};
-  backoff watch_pause_;
+  uint64_t next_call_id_ = 1;
+  uint64_t watch_call_id_ = 0;
+  uint64_t list_call_id_ = 0;
+  time_point next_list_time_{};
+  time_point next_watch_time_{};
+  backoff watch_backoff_;
   std::map<std::string, write_state, std::less<>> writes_;
   std::map<uint64_t, std::string> write_calls_;
 };
--- a/include/foxtailspread/peer_directory.h
+++ b/include/foxtailspread/peer_directory.h
@@ -50,18 +50,19 @@
   void Remove(std::string_view name);
   /// Records a message from `from`. Unknown hosts and messages from an older
   /// life are ignored; a newer life replaces the known one.
-  void Heard(const member& from, time_point now);
+  void RecordMessage(const member& from, time_point now);
   /// Records that the host announced that it is leaving.
-  void NoteLeaving(std::string_view name);
+  void MarkLeaving(std::string_view name);
 
   /// Returns the host, or nullptr.
   const host_entry* Find(std::string_view name) const;
   /// Returns whether a message of the host arrived less than `within` ago and
   /// it is not leaving. This host itself is always alive.
-  bool Alive(std::string_view name, time_point now, duration within) const;
+  bool IsAlive(std::string_view name, time_point now, duration within) const;
   /// Returns the time since the host's last message, or nullopt if there was
   /// none.
-  std::optional<duration> Silence(std::string_view name, time_point now) const;
+  std::optional<duration> TimeSinceLastMessage(std::string_view name,
+                                               time_point now) const;
   /// Returns the newest known life of the host, or 0 if it is unknown.
   uint64_t LatestLife(std::string_view name) const;
   /// Returns the names of all hosts of a zone in ascending order. Valid until
@@ -70,7 +71,7 @@
   /// Returns this host's position among the hosts of its zone.
   size_t OwnRank() const;
   /// Returns all names in ascending order.
-  std::vector<std::string> Names() const;
+  std::vector<std::string> HostNames() const;
 
   /// Returns the hosts that this one relays changes to: the next
   /// kRingNeighbours hosts of its own zone in a ring by name, and one host of
@@ -87,12 +88,12 @@
  private:
   struct known_host {
     host_entry entry;
-    time_point last_heard{};
-    bool heard = false;
+    time_point last_message_time{};
+    bool has_sent_message = false;
   };
 
-  void List(std::string_view name, std::string_view zone);
-  void Unlist(std::string_view name, std::string_view zone);
+  void AddToZone(std::string_view name, std::string_view zone);
+  void RemoveFromZone(std::string_view name, std::string_view zone);
 
   host_entry self_;
   std::map<std::string, known_host, std::less<>> hosts_;
--- a/include/foxtailspread/peer_message.h
+++ b/include/foxtailspread/peer_message.h
@@ -47,7 +47,7 @@
 struct peer_message {
   member from;
   uint64_t revision = 0;  ///< The sender has all changes up to this one.
-  std::vector<promise_ask> asks;
+  std::vector<promise_request> asks;
   std::vector<promise_answer> answers;
   std::vector<range_release> releases;
   std::optional<change_batch> changes;
--- a/include/foxtailspread/placement.h
+++ b/include/foxtailspread/placement.h
@@ -79,7 +79,7 @@
 /// A zone and the number of targets that the service has in it.
 struct zone_weight {
   std::string_view zone;
-  int targets = 0;
+  int target_count = 0;
 };
 
 /// Returns for each bucket the index of its zone, -1 if no zone has targets.
--- a/include/foxtailspread/poison_guard.h
+++ b/include/foxtailspread/poison_guard.h
@@ -44,7 +44,7 @@
 class poison_guard {
  public:
   /// Contents with this many crashes are refused.
-  static constexpr int kQuarantineCrashes = 2;
+  static constexpr int kQuarantineCrashCount = 2;
   static constexpr size_t kDefaultCapacity = 1024;
   static constexpr duration kMarkLifetime{std::chrono::minutes{30}};
 
@@ -58,12 +58,12 @@
   /// Counts one target lost while running this content; 0 is ignored.
   void CountCrash(uint64_t content_hash, time_point now);
   /// Subtracts one crash, after the target turned out to be alive.
-  void TakeBackCrash(uint64_t content_hash);
+  void RetractCrash(uint64_t content_hash);
   /// Removes the content's count, after a target answered it.
   void Clear(uint64_t content_hash);
 
   /// Returns the number of crashes counted for the content.
-  int Crashes(uint64_t content_hash, time_point now) const;
+  int CrashCount(uint64_t content_hash, time_point now) const;
   /// Returns whether requests with this content must be refused.
   bool IsQuarantined(uint64_t content_hash, time_point now) const;
 
@@ -71,7 +71,7 @@
   /// Sending them to the other hosts at once keeps one request from crashing
   /// targets zone after zone. Imported marks aren't included, since hosts would
   /// otherwise keep sending each other a mark that has been cleared.
-  std::vector<poison_mark> TakeNews(time_point now);
+  std::vector<poison_mark> TakeNewMarks(time_point now);
   /// Returns all unexpired marks, for a host that is starting.
   std::vector<poison_mark> Export(time_point now) const;
   /// Adopts marks of another host whose crash count exceeds the local one.
@@ -84,7 +84,7 @@
     uint64_t content_hash = 0;
     int crashes = 0;
     time_point marked_at;
-    bool news = false;  ///< Counted here and not yet taken for sending.
+    bool unsent = false;  ///< Counted here and not yet taken for sending.
   };
   struct hash_of_entry {
     using type = uint64_t;
@@ -111,7 +111,7 @@
   entry_set by_hash_;
   entry_list in_use_;  // least recently marked first
   entry_list free_;
-  bool any_news_ = false;
+  bool any_unsent_ = false;
 };
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/range.h
+++ b/include/foxtailspread/range.h
@@ -25,7 +25,7 @@
 namespace foxtailspread {
 
 /// Maximum number of hosts in a roster. Three tolerate the loss of one.
-inline constexpr size_t kRosterSize = 3;
+inline constexpr size_t kMaxRosterSize = 3;
 
 /// Prefix of the platform keys under which range records are stored.
 inline constexpr std::string_view kRangeKeyPrefix = "ranges/";
@@ -43,7 +43,7 @@
 
 /// A member and its epoch, in which no other member may be steward.
 struct roster_slot {
-  member who;
+  member host_run;
   uint64_t epoch = 0;
 
   bool operator==(const roster_slot&) const = default;
@@ -74,24 +74,24 @@
 struct range_record {
   uint64_t revision = 0;  ///< Assigned by the platform; not in the JSON text.
   /// The roster in order of succession, with ascending epochs.
-  std::vector<roster_slot> order;
+  std::vector<roster_slot> roster;
   /// The former roster while a change of members is in progress, else empty.
   /// Authority then needs a majority of both rosters.
-  std::vector<member> previous;
+  std::vector<member> previous_members;
   /// Hosts that an operator declared dead since the last reset.
   std::vector<std::string> declared_dead;
   uint64_t next_epoch = 1;  ///< The lowest epoch not assigned so far.
   /// Increases when the roster is replaced without the consent of its majority,
   /// because that is known to be dead. A claim after a reset first waits for
   /// the longest promise to expire.
-  uint64_t resets = 0;
+  uint64_t reset_count = 0;
   /// Identifies the write, so that the writer recognises it if the platform's
   /// answer is lost.
-  std::string mark;
+  std::string write_id;
   range_map map;
 
   /// Returns the position of the member in the roster, or -1.
-  int IndexOf(const member& who) const;
+  int IndexOf(const member& host_run) const;
   /// Returns the members of the roster without their epochs.
   std::vector<member> Members() const;
 };
@@ -100,13 +100,13 @@
 std::string RangeName(std::string_view service, std::string_view zone);
 
 /// The parts of a range's name.
-struct range_parts {
+struct range_name_parts {
   std::string_view service;
   std::string_view zone;
 };
 
 /// Splits a range's name; the views live as long as `name`.
-result<range_parts> ParseRangeName(std::string_view name);
+result<range_name_parts> ParseRangeName(std::string_view name);
 
 /// Parses a record written by FormatRangeRecord. On an error, the caller keeps
 /// the last valid record.
--- a/include/foxtailspread/range_balance.h
+++ b/include/foxtailspread/range_balance.h
@@ -40,26 +40,26 @@
   /// short enough that the hottest keys are those of the last minutes.
   static constexpr duration kHalfLife{std::chrono::seconds{10}};
   /// Interval between plans.
-  static constexpr duration kPeriod{std::chrono::seconds{1}};
+  static constexpr duration kPlanPeriod{std::chrono::seconds{1}};
   /// Maximum number of keys that a range places separately from their buckets.
-  static constexpr size_t kMaxKeys = 19;
+  static constexpr size_t kMaxSeparateKeys = 19;
 
-  explicit range_balance(int buckets);
+  explicit range_balance(int bucket_count);
 
   /// Counts one request for the bucket and key.
   void Record(int bucket, uint64_t key_hash);
 
   /// Returns true once per plan period and decays the load at that time.
-  bool Due(time_point now);
+  bool DecayIfDue(time_point now);
 
   /// Plans moves. Their `bucket` is the number of the bucket in the service,
   /// not its position in `state.buckets`.
   std::vector<placement_move> Plan(const balance_state& state) const;
 
  private:
-  std::vector<double> load_;
-  hot_key_sketch hot_;
-  time_point next_{};
+  std::vector<double> bucket_load_;
+  hot_key_sketch hot_keys_;
+  time_point next_plan_at_{};
 };
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/range_steward.h
+++ b/include/foxtailspread/range_steward.h
@@ -64,9 +64,9 @@
 
 /// The state of targets that the operator and the platform set outside the
 /// configuration.
-struct target_notices {
+struct target_status_source {
   /// Returns whether the target must get no new work.
-  std::function<bool(std::string_view target)> draining;
+  std::function<bool(std::string_view target)> is_draining;
 };
 
 /// The steward of one range.
@@ -77,13 +77,13 @@
 
   /// Applies the configuration: targets, policy and rules. Targets that remain
   /// in it keep their running work and their buckets.
-  void Configure(const deployment_config& config, const target_notices& notices,
-                 time_point now);
+  void Configure(const deployment_config& config,
+                 const target_status_source& target_status, time_point now);
 
   /// Starts a tenure in a new epoch. `newest_map` is the newest known map. With
   /// `handed_over`, leases of the former steward may not have expired yet.
-  void BeginTenure(uint64_t epoch, const range_map& last, bool handed_over,
-                   time_point now, steward_output& out);
+  void BeginTenure(uint64_t epoch, const range_map& newest_map,
+                   bool handed_over, time_point now, steward_output& out);
 
   /// Resumes in the same epoch after authority had lapsed.
   void Resume();
@@ -91,9 +91,9 @@
   void Suspend(time_point now, steward_output& out);
   /// Prepares a planned stop: accepts no new requests and lets the running ones
   /// finish.
-  void StopTaking(time_point now, steward_output& out);
+  void StopAccepting(time_point now, steward_output& out);
   /// True if no attempt is running that a handover would have to wait for.
-  bool Quiet() const { return attempts_.empty(); }
+  bool IsIdle() const { return attempts_.empty(); }
 
   /// Does all work that is due. `acting_until` is the end of this host's
   /// authority.
@@ -101,41 +101,41 @@
 
   void Submit(const steward_request& request, time_point now,
               steward_output& out);
-  void CallerGone(uint64_t request_id, time_point now, steward_output& out);
+  void OnCallerGone(uint64_t request_id, time_point now, steward_output& out);
   /// Returns false if the attempt does not belong to this steward.
-  bool OnAttempt(const attempt_ended& ended, time_point now,
-                 steward_output& out);
+  bool OnAttemptEnded(const attempt_ended& ended, time_point now,
+                      steward_output& out);
   /// Returns false if the target has seen a higher epoch than this steward's.
-  bool OnGrant(const grant_ended& ended, time_point now);
+  bool OnGrantEnded(const grant_ended& ended, time_point now);
 
   /// Returns which target may still hold which bucket, for the successor in a
   /// planned handover. This covers more than the current owners: a bucket that
   /// is moving between targets, or whose lease is about to expire, has a holder
   /// but no owner, and must not be granted to another target yet.
-  range_map HeldMap() const;
+  range_map HolderMap() const;
   /// Returns the serialized action table for the successor in a planned
   /// handover.
   std::string ExportActions(time_point now) const;
   /// Stores the predecessor's action table for the next tenure.
   void ImportActions(std::string actions) {
-    handed_actions_ = std::move(actions);
+    imported_actions_ = std::move(actions);
   }
   /// Continues the tenure in a new epoch, after the roster's epochs were
   /// renumbered while this host was acting.
-  void ContinueIn(uint64_t epoch);
+  void ContinueInEpoch(uint64_t epoch);
 
   uint64_t epoch() const { return epoch_; }
   bool active() const { return active_; }
-  bool taking() const { return active_ && !stopped_taking_; }
+  bool accepting() const { return active_ && !stopped_accepting_; }
   /// The current owners of the buckets.
   const range_map& map() const { return map_; }
   const service_config* service() const { return service_; }
   const dispatcher& Dispatcher() const { return *dispatcher_; }
   dispatcher& Dispatcher() { return *dispatcher_; }
   /// Returns whether the target has a valid lease.
-  bool TargetLeased(std::string_view target, time_point now) const;
+  bool IsTargetLeased(std::string_view target, time_point now) const;
   /// Returns how many buckets of this range no target currently serves.
-  int UnownedBuckets() const;
+  int UnownedBucketCount() const;
 
  private:
   struct live_request {
@@ -159,40 +159,42 @@
   struct key_slot {
     int bucket = -1;
     int slot = -1;
-    int starting = -1;       ///< Its owner once no attempt of the key runs.
-    bool returning = false;  ///< Being returned to its bucket's owner.
+    int pending_owner = -1;  ///< Its owner once no attempt of the key runs.
+    bool returning_to_bucket =
+        false;  ///< Being returned to its bucket's owner.
   };
 
-  void Carry(std::vector<dispatch_decision>& decisions, time_point now,
-             steward_output& out);
-  void Start(const start_attempt& start, time_point now, steward_output& out);
-  void Finish(const finish_request& finish, time_point now,
-              steward_output& out);
+  void ApplyDecisions(std::vector<dispatch_decision>& decisions, time_point now,
+                      steward_output& out);
+  void StartAttempt(const start_attempt& start, time_point now,
+                    steward_output& out);
+  void FinishRequest(const finish_request& finish, time_point now,
+                     steward_output& out);
   void FinishAction(const live_request& live, const finish_request& finish,
                     time_point now, steward_output& out);
   void SubmitAction(live_request live, time_point now, steward_output& out);
   void SubmitToDispatcher(live_request live, time_point now,
                           steward_output& out);
-  void AnswerDone(uint64_t request_id, const live_attempt& attempt,
-                  const attempt_ended& ended, steward_output& out);
+  void AnswerFromAttempt(uint64_t request_id, const live_attempt& attempt,
+                         const attempt_ended& ended, steward_output& out);
   void AnswerWaiters(const std::vector<uint64_t>& waiters,
                      const answer_action& answer, std::string_view organisation,
                      steward_output& out);
-  void Mint(const steward_request& request, steward_output& out);
-  std::string NextAction(std::string_view organisation);
+  void AnswerMintRequest(const steward_request& request, steward_output& out);
+  std::string NextActionId(std::string_view organisation);
   void ApplyOwnerChanges(const ownership_step& step);
   void PlanOwners(time_point now);
   void MoveKey(const placement_move& move);
-  void StepKeys();
-  void ForgetKeys();
-  void UpdateUsability(time_point now);
+  void AdvanceKeyMoves();
+  void ClearKeySlots();
+  void UpdateTargetUsability(time_point now);
   void RebuildMap();
-  std::map<std::string, std::vector<int>> BucketsBy(
+  std::map<std::string, std::vector<int>> BucketsByTarget(
       int (bucket_owners::*target_of)(int bucket) const) const;
   /// Returns the number sent to targets for a bucket or key slot.
-  int OuterNumber(int bucket) const;
+  int ExternalBucketNumber(int bucket) const;
   int OrganisationIndex(std::string_view organisation);
-  bool BucketRunning(int bucket) const;
+  bool IsBucketRunning(int bucket) const;
   const target_config* TargetAt(int owners_index) const;
 
   std::string range_;
@@ -206,19 +208,20 @@
   std::vector<target_config> targets_;  ///< Targets of this range.
   std::vector<bool> draining_;          ///< By index into targets_.
   std::vector<int> owner_index_;  ///< From targets_ index to owners_ index.
-  std::vector<bool> answering_;  ///< By index into targets_, at the last check.
-  std::vector<int> homed_;       ///< Buckets whose home is this range.
+  std::vector<bool>
+      was_answering_;  ///< By index into targets_, at the last check.
+  std::vector<int> homed_buckets_;  ///< Buckets whose home is this range.
   std::unordered_map<std::string, int> organisations_;
 
   uint64_t epoch_ = 0;
-  time_point tenure_began_{};
+  time_point tenure_began_at_{};
   bool active_ = false;
-  bool stopped_taking_ = false;
+  bool stopped_accepting_ = false;
   time_point acting_until_{};
   bucket_owners owners_;
   std::unique_ptr<dispatcher> dispatcher_;
   action_table actions_;
-  std::string handed_actions_;
+  std::string imported_actions_;
   range_map map_;
 
   std::unordered_map<uint64_t, live_request> requests_;
@@ -229,7 +232,7 @@
   std::optional<range_balance> balance_;
   bool allow_rebalance_ = true;
   std::map<uint64_t, key_slot> keys_;
-  std::vector<int> free_slots_;
+  std::vector<int> free_key_slots_;
   int first_slot_number_ = 0;
 };
 
--- a/include/foxtailspread/range_table.h
+++ b/include/foxtailspread/range_table.h
@@ -77,26 +77,27 @@
 };
 
 /// The state of one range at this host.
-struct range_node {
+struct range_state {
   std::string name;
   std::string service;
   std::string zone;
-  size_t offset = 0;  ///< Rotation of the zone's hosts in the initial roster.
+  size_t roster_offset =
+      0;  ///< Rotation of the zone's hosts in the initial roster.
   std::optional<range_record> record;
   std::unique_ptr<range_authority> authority;  ///< In this host's zone only.
   std::unique_ptr<range_steward> steward;      ///< In this host's zone only.
   range_map newest_map;
-  bool handed_over = false;  ///< By the former steward, to this host.
-  bool renumbered = false;   ///< Got a new epoch while this host acted.
-  std::string hint;          ///< The host that last answered as steward.
+  bool handed_over = false;        ///< By the former steward, to this host.
+  bool renumbered = false;         ///< Got a new epoch while this host acted.
+  std::string last_known_steward;  ///< The host that last answered as steward.
   /// Until then its steward counts as unreachable, and requests that may be
   /// served by any zone go elsewhere.
-  time_point avoid_until{};
-  uint64_t noticed_map_seq = 0;  ///< Of the map last sent to the members.
-  time_point next_notice{};
+  time_point unreachable_until{};
+  uint64_t announced_map_seq = 0;  ///< Of the map last sent to the members.
+  time_point next_map_notice{};
   time_point next_record_write{};
   time_point next_record_check{};
-  time_point first_wanted{};  ///< When the range was first configured.
+  time_point configured_at{};  ///< When the range was first configured.
   time_point acting_since{};
   bool acting = false;  ///< This host is the steward now.
 };
@@ -107,8 +108,8 @@
   explicit range_table(host_context context) : context_(std::move(context)) {}
 
   /// Adds and removes ranges to match the configuration.
-  void Configure(const deployment_config& config, const target_notices& notices,
-                 time_point now);
+  void Configure(const deployment_config& config,
+                 const target_status_source& notices, time_point now);
 
   /// Processes a change of the object `ranges/NAME`. For a malformed object it
   /// returns an error and keeps the last valid record.
@@ -118,14 +119,16 @@
   /// steps that are due.
   void Tick(time_point now, steward_output& out);
 
-  void OnAsk(const member& from, const promise_ask& ask, time_point now);
-  void OnAnswer(const member& from, const promise_answer& answer,
-                time_point now);
+  void OnPromiseAsk(const member& from, const promise_request& ask,
+                    time_point now);
+  void OnPromiseAnswer(const member& from, const promise_answer& answer,
+                       time_point now);
   void OnRelease(const member& from, const range_release& release);
-  void OnMap(const range_map_notice& notice);
-  void OnGrant(const grant_ended& ended, time_point now, steward_output& out);
-  void OnAttempt(const attempt_ended& ended, time_point now,
-                 steward_output& out);
+  void OnMapNotice(const range_map_notice& notice);
+  void OnGrantEnded(const grant_ended& ended, time_point now,
+                    steward_output& out);
+  void OnAttemptEnded(const attempt_ended& ended, time_point now,
+                      steward_output& out);
   /// Returns marks of request contents that crashed targets, for other hosts.
   std::vector<poison_mark> ExportPoison(time_point now) const;
   /// Adds marks of request contents that crashed targets at other hosts.
@@ -136,29 +139,30 @@
   /// until AllHandedOver() returns true.
   void HandOver(time_point now, bool force, steward_output& out);
   /// True when this host is not the steward of any range.
-  bool Released() const;
+  bool AllHandedOver() const;
 
   /// Returns the range of this name, nullptr if it is not configured.
-  range_node* Find(std::string_view name);
+  range_state* Find(std::string_view name);
   /// Returns the epoch of the first member of the range's roster, 0 if
   /// unknown.
-  uint64_t FirstEpoch(std::string_view name) const;
-  const std::map<std::string, range_node, std::less<>>& ranges() const {
+  uint64_t FirstRosterEpoch(std::string_view name) const;
+  const std::map<std::string, range_state, std::less<>>& ranges() const {
     return ranges_;
   }
 
  private:
-  void TickAuthority(range_node& node, time_point now, steward_output& out);
-  void TickRecord(range_node& node, time_point now, action_list& out);
-  void TickMap(range_node& node, time_point now);
-  void TickPoison(range_node& node, time_point now);
-  roster_facts Facts(const range_node& node, time_point now) const;
-  void WriteRecord(range_node& node, range_record record, time_point now,
+  void TickAuthority(range_state& range, time_point now, steward_output& out);
+  void TickRecord(range_state& range, time_point now, action_list& out);
+  void AnnounceMap(range_state& range, time_point now);
+  void AnnouncePoisonMarks(range_state& range, time_point now);
+  roster_facts CollectRosterFacts(const range_state& range,
+                                  time_point now) const;
+  void WriteRecord(range_state& range, range_record record, time_point now,
                    action_list& out);
 
   host_context context_;
-  std::map<std::string, range_node, std::less<>> ranges_;
-  uint64_t marks_ = 0;
+  std::map<std::string, range_state, std::less<>> ranges_;
+  uint64_t write_count_ = 0;
 };
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/request_router.h
+++ b/include/foxtailspread/request_router.h
@@ -45,8 +45,8 @@
   std::string_view host{};
   std::string_view path{};
   std::optional<key_point> key{};
-  std::optional<duration> patience{};  ///< How long the caller waits.
-  uint64_t content = 0;  ///< Hash of the request's content; 0 for none.
+  std::optional<duration> caller_timeout{};  ///< How long the caller waits.
+  uint64_t content_hash = 0;  ///< Hash of the request's content; 0 for none.
 };
 
 /// Sends a request to a target.
@@ -59,7 +59,7 @@
 
 /// The answer that the host itself gives when it has no target's answer to
 /// pass on.
-enum class own_answer {
+enum class local_reply {
   kNoRoute,   ///< The configuration has no route for the request.
   kNotRun,    ///< No target ran the request, and none will.
   kUnknown,   ///< A target may have run it; the result is lost.
@@ -88,24 +88,24 @@
 std::string_view ToString(refusal_reason reason);
 
 /// Statistics of a finished request for the log and the metrics.
-struct request_account {
+struct request_summary {
   std::string service{};  ///< Empty if no route was found.
   int attempts = 0;       ///< Attempts that reached a target.
   duration age{};         ///< Time since its arrival.
   /// Time from its arrival to its first send; empty if it was never sent.
-  std::optional<duration> wait{};
+  std::optional<duration> queue_time{};
 };
 
 /// Answers a request on behalf of this host, which ends the request.
-struct own_answer_action {
+struct local_reply_action {
   request_id id = 0;
-  own_answer answer = own_answer::kNotRun;
+  local_reply reply = local_reply::kNotRun;
   refusal_reason reason = refusal_reason::kNone;
   std::optional<duration> retry_after{};
   /// Only the attempt that is being cancelled may have run: if no byte of it
   /// was written to the target, answer kNotRun instead of `reply`.
   bool not_run_if_unwritten = false;
-  request_account account{};
+  request_summary summary{};
   std::optional<key_point> key{};
   uint64_t config_version = 0;  ///< Configuration that it was routed by.
 };
@@ -114,7 +114,7 @@
 /// request.
 struct deliver_action {
   request_id id = 0;
-  request_account account{};
+  request_summary summary{};
 };
 
 /// Cancels the request's current attempt by closing its connection.
@@ -122,31 +122,31 @@
   request_id id = 0;
 };
 
-using router_action =
-    std::variant<send_action, own_answer_action, deliver_action, cancel_action>;
+using router_action = std::variant<send_action, local_reply_action,
+                                   deliver_action, cancel_action>;
 using router_actions = std::vector<router_action>;
 
 /// How an attempt ended.
 struct attempt_report {
   request_id id = 0;
   attempt_verdict verdict = attempt_verdict::kBroken;
-  std::optional<told_load> load{};  ///< Reported by the target, if at all.
+  std::optional<reported_load> load{};  ///< Reported by the target, if at all.
 };
 
 /// Current state of one service for the metrics.
 struct service_gauges {
   std::string service;
-  size_t waiting = 0;         ///< Requests not sent yet.
-  size_t usable_targets = 0;  ///< Listed, not draining and reachable.
-  size_t cold_targets = 0;    ///< Not warmed up yet after their start.
-  int in_flight = 0;          ///< Attempts of this host under way.
-  double repeats_left = 0.0;  ///< In this host's share of the retry budget.
+  size_t waiting_requests = 0;  ///< Requests not sent yet.
+  size_t usable_targets = 0;    ///< Listed, not draining and reachable.
+  size_t cold_targets = 0;      ///< Not warmed up yet after their start.
+  int in_flight = 0;            ///< Attempts of this host under way.
+  double retries_left = 0.0;    ///< In this host's share of the retry budget.
 };
 
 /// Counters since the start of the host.
 struct router_counts {
   uint64_t requests = 0;
-  uint64_t repeats = 0;
+  uint64_t retries = 0;
 };
 
 /// Settings of a request_router.
@@ -155,7 +155,7 @@
   retry_bounds retries;
   /// A target must get no request later than this after it announced that it
   /// drains.
-  duration drain{std::chrono::seconds{2}};
+  duration drain_timeout{std::chrono::seconds{2}};
   uint64_t seed = 1;
 };
 
@@ -178,8 +178,9 @@
   /// that missing targets may be listed again within seconds. `unchanged_until`
   /// is the last time at which the previous list was known to be current:
   /// whatever differs from it changed after that.
-  void OnTargets(const std::vector<target_entry>& targets, bool doubtful,
-                 time_point same_until, time_point now, router_actions& out);
+  void OnTargets(const std::vector<target_entry>& targets,
+                 bool may_be_incomplete, time_point unchanged_until,
+                 time_point now, router_actions& out);
 
   /// Sets the availability zones that are evacuated.
   void OnEvacuations(std::set<std::string> zones, time_point now,
@@ -229,91 +230,100 @@
  private:
   /// Period at which a waiting request is tried again without an event: targets
   /// become trusted again and keys get an owner with time.
-  static constexpr duration kRecheck{std::chrono::milliseconds{40}};
+  static constexpr duration kRecheckPeriod{std::chrono::milliseconds{40}};
 
   struct target;
   struct request;
   struct service;
   class waiting_queue;
   using target_ptr = boost::intrusive_ptr<target>;
-  struct due {
-    time_point at;
+  struct timer {
+    time_point due_time;
     request_id id;
-    bool operator>(const due& other) const { return at > other.at; }
+    bool operator>(const timer& other) const {
+      return due_time > other.due_time;
+    }
   };
 
-  service& ServiceOf(const std::string& name);
-  void Admit(request& admitted, time_point now, router_actions& out);
-  void Refuse(request& refused, refusal_reason reason, time_point now,
+  service& FindOrAddService(const std::string& name);
+  void Admit(request& new_request, time_point now, router_actions& out);
+  void Refuse(request& pending_request, refusal_reason reason, time_point now,
               router_actions& out);
-  int ConnectionsAllowed(const std::string& service) const;
+  int MaxConnections(const std::string& service) const;
   /// The latency assumed of a target that is new to this host: the mean of the
   /// others, so that it gets its share of the requests at once.
-  static duration FirstLatency(const service& of);
-  void LimitConnections();
+  static duration InitialLatency(const service& service_state);
+  void UpdateConnectionLimits();
   /// Updates this host's share of the slots of a service's targets.
-  void ShareSlots(service& of) const;
-  void Finish(request& finished);
-  void Wait(request& waiting, time_point now);
+  void UpdateSlotShare(service& service_state) const;
+  void RemoveRequest(request& pending_request);
+  void StartWaiting(request& pending_request, time_point now);
   /// Adds a request to the queue of its key's owner, or of its service if the
   /// key has none.
-  void JoinQueue(request& waiting);
-  void LeaveQueue(request& waiting);
+  void JoinQueue(request& pending_request);
+  void LeaveQueue(request& pending_request);
   /// Moves waiting requests to the queues of their keys' current owners.
-  void RedistributeQueues(service& of);
+  void RedistributeQueues(service& service_state);
   /// Returns the queue of `owner`, or of the service if `owner` is nullptr.
-  static waiting_queue& QueueOf(service& at, target* owner);
+  static waiting_queue& QueueFor(service& service_state, target* owner);
   /// Returns the most likely latency of an attempt; 0 if nothing is known.
   /// `owner` is the owner of the request's key, nullptr if there is none.
-  static duration LikelyLatency(const service& at, const target* owner,
-                                time_point now);
-  bool TrySend(request& sent, time_point now, router_actions& out);
-  target* Pick(service& from, const request& by, time_point now);
+  static duration LikelyLatency(const service& service_state,
+                                const target* owner, time_point now);
+  bool TrySend(request& pending_request, time_point now, router_actions& out);
+  target* PickTarget(service& service_state, const request& pending_request,
+                     time_point now);
   /// Returns the owner of a request's key; nullptr if there is none or the key
   /// is moving to another owner.
-  static target* FindOwner(service& from, const request& by);
-  target* OwnerOf(service& from, const request& by, time_point now);
-  target* PickPooled(service& from, const request& by, time_point now);
+  static target* FindOwner(service& service_state,
+                           const request& pending_request);
+  target* PickOwner(service& service_state, const request& pending_request,
+                    time_point now);
+  target* PickPooled(service& service_state, const request& pending_request,
+                     time_point now);
   /// Records the load that `reporter` reported with the end of an attempt.
-  static void TakeLoad(const request& ended, target& by,
-                       const attempt_report& report, time_point now);
-  bool MayRepeat(request& repeated, time_point now);
-  void Repeat(request& repeated, refusal_reason otherwise, time_point now,
-              router_actions& out);
-  void Pump(service& pumped, time_point now, router_actions& out);
-  void PumpQueue(waiting_queue& queue, time_point now, router_actions& out);
+  static void RecordLoad(const request& ended_request, target& reporter,
+                         const attempt_report& report, time_point now);
+  bool TryTakeRetry(request& pending_request, time_point now);
+  void RetryOrRefuse(request& pending_request, refusal_reason reason_if_refused,
+                     time_point now, router_actions& out);
+  void SendWaiting(service& service_state, time_point now, router_actions& out);
+  void SendFromQueue(waiting_queue& queue, time_point now, router_actions& out);
   /// Sends requests that wait for the slot freed at `freed`, which may be null.
-  void PumpAfter(service& at, const target_ptr& freed, time_point now,
-                 router_actions& out);
-  void Expire(request& expired, time_point now, router_actions& out);
-  std::optional<refusal_reason> CannotServe(service& by, const request& asked,
-                                            time_point now);
-  duration ExpectedWait(const service& at, const request& by,
-                        time_point now) const;
-  duration RetryAfter(const request& refused, refusal_reason reason,
+  void SendAfterFreedSlot(service& service_state,
+                          const target_ptr& freed_target, time_point now,
+                          router_actions& out);
+  void Expire(request& pending_request, time_point now, router_actions& out);
+  std::optional<refusal_reason> RefusalReasonFor(service& service_state,
+                                                 const request& pending_request,
+                                                 time_point now);
+  duration ExpectedWait(const service& service_state,
+                        const request& pending_request, time_point now) const;
+  duration RetryAfter(const request& refused_request, refusal_reason reason,
                       time_point now);
-  void Schedule(time_point at, request_id id);
+  void Schedule(time_point due_time, request_id id);
   /// Whether `candidate` may get new requests now, if it has a free slot.
-  static bool IsOpen(const target& of, time_point now);
+  static bool AcceptsRequests(const target& candidate, time_point now);
   /// Whether an owner's zone was evacuated so long ago that the owner gets no
   /// more requests.
-  static bool IsEvacuationOver(const target& owner, time_point now);
+  static bool IsEvacuationGraceOver(const target& owner, time_point now);
   /// Returns when the first of a service's cold targets is warm; empty if none
   /// is cold.
-  static std::optional<time_point> WarmAt(const service& at, time_point now);
+  static std::optional<time_point> FirstWarmTime(const service& service_state,
+                                                 time_point now);
   /// Whether a target has been missing from the list for too long to be used.
-  static bool IsRetired(const target& of, time_point now);
-  void DropRetired(service& from, time_point now);
+  static bool IsMissingTooLong(const target& candidate, time_point now);
+  void DropMissingTargets(service& service_state, time_point now);
 
   router_settings settings_;
   std::minstd_rand random_;
   route_table_ptr table_;
   std::set<std::string> evacuated_zones_;
   std::unordered_map<std::string, std::unique_ptr<service>> services_;
-  std::unordered_map<std::string, split_dealer> splits_;
+  std::unordered_map<std::string, traffic_splitter> splits_;
   std::unordered_map<request_id, std::unique_ptr<request>> requests_;
-  std::priority_queue<due, std::vector<due>, std::greater<>> due_;
-  size_t hosts_ = 8;
+  std::priority_queue<timer, std::vector<timer>, std::greater<>> timers_;
+  size_t host_count_ = 8;
   crash_watch crashes_;
   router_counts counts_;
 };
--- a/include/foxtailspread/retry_budget.h
+++ b/include/foxtailspread/retry_budget.h
@@ -29,15 +29,17 @@
  public:
   explicit retry_budget(retry_bounds bounds) : bounds_(bounds) {}
 
-  void SetHosts(size_t hosts) { hosts_ = hosts == 0 ? 1 : hosts; }
-  void OnRequest(time_point now) { ++At(now).requests; }
+  void SetHostCount(size_t host_count) {
+    host_count_ = host_count == 0 ? 1 : host_count;
+  }
+  void OnRequest(time_point now) { ++CurrentSlice(now).requests; }
   /// Takes one retry out of the budget; returns false if none remains.
-  bool TryRepeat(time_point now);
+  bool TryRetry(time_point now);
   /// Returns whether TryRetry would succeed.
-  bool HasRoom(time_point now) { return Left(now) >= 1.0; }
+  bool CanRetry(time_point now) { return RemainingRetries(now) >= 1.0; }
   /// Returns the number of retries that remain now; negative if the requests
   /// that allowed earlier retries have left the window.
-  double Left(time_point now);
+  double RemainingRetries(time_point now);
 
  private:
   /// Number of slices in the window. One more is kept, so that a retry counts
@@ -46,18 +48,18 @@
   /// Fraction of the bound that is used. The rest is a margin for requests that
   /// other hosts received and that this host counts twice, on a route that
   /// splits its traffic.
-  static constexpr double kUsedShare = 0.8;
+  static constexpr double kUsedFraction = 0.8;
 
   struct slice {
     int64_t number = -1;
     uint32_t requests = 0;
-    uint32_t repeats = 0;
+    uint32_t retries = 0;
   };
 
-  slice& At(time_point now);
+  slice& CurrentSlice(time_point now);
 
   retry_bounds bounds_;
-  size_t hosts_ = 1;
+  size_t host_count_ = 1;
   std::array<slice, kSlices + 1> slices_{};
 };
 
--- a/include/foxtailspread/roster_policy.h
+++ b/include/foxtailspread/roster_policy.h
@@ -33,7 +33,7 @@
   std::function<uint64_t(const std::string&)> latest_life;
   /// Returns whether the member is leaving or has not been heard from for the
   /// peer timeout.
-  std::function<bool(const member&)> gone;
+  std::function<bool(const member&)> is_unavailable;
   /// Every member of the record's roster is known to have seen the record.
   bool all_saw_record = false;
   /// A member refuses its promise for this steward's epoch because it has
@@ -44,8 +44,8 @@
 /// Returns the initial record of a range, or nullopt without candidates.
 /// `offset` rotates the candidates, so that the ranges of a zone are initially
 /// spread over its hosts.
-std::optional<range_record> FirstRecord(std::span<const member> candidates,
-                                        size_t offset);
+std::optional<range_record> InitialRecord(std::span<const member> candidates,
+                                          size_t offset);
 
 /// Returns the record with the next change of the roster that the acting
 /// steward should write, or nullopt if no change is due. The steward keeps its
--- a/include/foxtailspread/routing_config.h
+++ b/include/foxtailspread/routing_config.h
@@ -20,7 +20,7 @@
 namespace foxtailspread {
 
 /// Whether a request may run more than once.
-enum class repeat_rule {
+enum class retry_rule {
   kIdempotent,  ///< May be retried after any failure.
   kAtMostOnce,  ///< Retried only if it provably did not run.
 };
@@ -36,7 +36,7 @@
   std::string name;
   std::string host;    ///< Lower case, without a port.
   std::string prefix;  ///< Begins and ends with a slash.
-  repeat_rule repeat = repeat_rule::kAtMostOnce;
+  retry_rule retry = retry_rule::kAtMostOnce;
   /// Latency objective: a response has its full value until then.
   duration objective{std::chrono::seconds{1}};
   duration timeout{std::chrono::seconds{30}};  ///< Maximum time to a response.
@@ -49,13 +49,14 @@
 struct service_settings {
   std::string name;
   std::string health_path;
-  int max_connections = 0;  ///< Per target, all hosts; 0 if unlimited.
-  bool keyed = false;       ///< Only the owner of a key runs its requests.
-  duration warm_up{};    ///< How long a target is slow on newly assigned keys.
-  duration cold_time{};  ///< How long a target is cold after its start.
+  int max_connections = 0;      ///< Per target, all hosts; 0 if unlimited.
+  bool keyed = false;           ///< Only the owner of a key runs its requests.
+  duration key_warm_up_time{};  ///< How long a target is slow on newly assigned
+                                ///< keys.
+  duration cold_time{};         ///< How long a target is cold after its start.
   /// Requests per second that a cold target sustains, over all hosts; 0 if
   /// unlimited.
-  double cold_rate = 0.0;
+  double cold_requests_per_second = 0.0;
 };
 
 /// Limits on the requests and connections of callers.
@@ -84,7 +85,7 @@
 
   /// Returns the route with the longest prefix of `path`, or nullptr. `host`
   /// may contain a port and upper-case letters; `path` may contain a query.
-  const route* Find(std::string_view host, std::string_view path) const;
+  const route* FindRoute(std::string_view host, std::string_view path) const;
 
   const service_settings* FindService(std::string_view name) const;
   const routing_config& config() const { return config_; }
@@ -101,11 +102,11 @@
 /// round-robin. Each service's share follows its weight at any time; with
 /// random choice the shares of a few hundred requests deviate by several per
 /// cent.
-class split_dealer {
+class traffic_splitter {
  public:
   /// Returns the index of the service for the next request. Weights may change
   /// between calls; if all are zero they count as equal.
-  size_t Next(const std::vector<weighted_service>& parts);
+  size_t Next(const std::vector<weighted_service>& services);
 
  private:
   std::vector<double> credit_;  ///< Requests owed to each service.
--- a/include/foxtailspread/service_estimator.h
+++ b/include/foxtailspread/service_estimator.h
@@ -17,7 +17,7 @@
 /// estimator.Add(measured);
 /// duration expected = estimator.Mean();
 /// @endcode
-class service_estimator {
+class service_time_estimator {
  public:
   /// The mean before the first sample.
   static constexpr double kInitialMeanUs = 2000;
@@ -25,23 +25,25 @@
   /// Adds one measured service time.
   void Add(duration measured) {
     const auto us = static_cast<double>(measured.count());
-    samples_ = std::min(samples_ + 1, kWindow);
+    samples_ = std::min(samples_ + 1, kWindowSamples);
     mean_us_ += (us - mean_us_) / samples_;
-    high_us_ = std::max(us, high_us_ * kHighDecay);
+    recent_max_us_ = std::max(us, recent_max_us_ * kMaxDecayPerSample);
   }
 
   bool Empty() const { return samples_ == 0; }
   double MeanUs() const { return mean_us_; }
   duration Mean() const { return duration(static_cast<int64_t>(mean_us_)); }
   /// Returns approximately the longest of the last 1000 service times.
-  duration High() const { return duration(static_cast<int64_t>(high_us_)); }
+  duration RecentMax() const {
+    return duration(static_cast<int64_t>(recent_max_us_));
+  }
 
  private:
-  static constexpr int kWindow = 64;
-  static constexpr double kHighDecay = 0.999;
+  static constexpr int kWindowSamples = 64;
+  static constexpr double kMaxDecayPerSample = 0.999;
 
   double mean_us_ = kInitialMeanUs;
-  double high_us_ = 0;
+  double recent_max_us_ = 0;
   int samples_ = 0;
 };
 
--- a/include/foxtailspread/service_limit.h
+++ b/include/foxtailspread/service_limit.h
@@ -20,10 +20,11 @@
 namespace foxtailspread {
 
 /// A response with the load that the target reported in it.
-struct told_answer {
-  double load = 0.0;     ///< Requests at the target for each of its slots.
+struct response_sample {
+  double load_per_slot =
+      0.0;               ///< Requests at the target for each of its slots.
   bool served = true;    ///< False if the target did not run the request.
-  duration took{};       ///< Latency of the response.
+  duration latency{};    ///< Latency of the response.
   duration objective{};  ///< Latency objective of the route.
 };
 
@@ -40,32 +41,32 @@
  public:
   /// Sets the total number of slots of all targets and the number of hosts that
   /// share them.
-  void SetShare(double slots, size_t hosts);
+  void SetCapacity(double total_slots, size_t host_count);
 
   /// Returns whether one more request may be sent. `in_flight` is the number of
   /// this host's requests in flight. Always true before the first load report.
-  bool HasRoom(int in_flight) const { return in_flight < limit(); }
+  bool HasCapacity(int in_flight) const { return in_flight < limit(); }
 
   /// Records a response and adjusts the limit.
-  void OnAnswer(const told_answer& answer, int in_flight);
+  void OnResponse(const response_sample& response, int in_flight);
 
   /// Whether a target has reported its load.
-  bool is_told() const { return is_told_; }
+  bool has_load_reports() const { return has_load_reports_; }
   double limit() const {
-    return is_told_ ? limit_ : std::numeric_limits<double>::infinity();
+    return has_load_reports_ ? limit_ : std::numeric_limits<double>::infinity();
   }
 
  private:
   /// Returns the mean load at which most responses still arrive within the
   /// objective.
-  double MostLoad(duration objective) const;
+  double LoadThreshold(duration objective) const;
 
-  bool is_told_ = false;
+  bool has_load_reports_ = false;
   double mean_load_ = 0.0;
   /// Mean latency of targets that have a free slot.
-  duration unqueued_{0};
-  double least_ = 1.0;
-  double most_ = 1.0;
+  duration unqueued_latency_{0};
+  double min_limit_ = 1.0;
+  double max_limit_ = 1.0;
   double limit_ = 0.0;  ///< 0 until the capacity is known.
 };
 
--- a/include/foxtailspread/target_availability.h
+++ b/include/foxtailspread/target_availability.h
@@ -21,7 +21,7 @@
 struct cold_policy {
   duration cold_time{};  ///< How long they are cold after a start.
   /// They crash under normal load while cold.
-  bool bears_few_requests = false;
+  bool is_fragile_when_cold = false;
 };
 
 cold_policy ColdPolicyOf(const service_settings& service);
@@ -50,7 +50,9 @@
   bool IsCold(time_point now) const { return now < cold_until_; }
   time_point cold_until() const { return cold_until_; }
 
-  bool IsOpen(time_point now) const { return !IsEvacuated() && !IsCold(now); }
+  bool IsAvailable(time_point now) const {
+    return !IsEvacuated() && !IsCold(now);
+  }
 
  private:
   std::optional<time_point> evacuated_since_;
--- a/include/foxtailspread/target_entry.h
+++ b/include/foxtailspread/target_entry.h
@@ -19,10 +19,10 @@
   std::string service;
   std::string address;  ///< "IP:port".
   std::string zone;
-  int slots = 1;          ///< Requests that it runs concurrently.
-  bool draining = false;  ///< It gets no new requests.
-  duration warm_up{};     ///< How much longer it is cold.
-  uint64_t sequence = 0;  ///< Increases with each report of one life.
+  int slots = 1;                   ///< Requests that it runs concurrently.
+  bool draining = false;           ///< It gets no new requests.
+  duration remaining_cold_time{};  ///< How much longer it is cold.
+  uint64_t sequence = 0;           ///< Increases with each report of one life.
 
   bool operator==(const target_entry&) const = default;
 };
--- a/include/foxtailspread/target_health.h
+++ b/include/foxtailspread/target_health.h
@@ -39,79 +39,80 @@
  public:
   /// `slots` is how many requests the target runs concurrently.
   /// `initial_latency` is the mean latency before the first response.
-  target_health(int slots, duration first_latency);
+  target_health(int slots, duration initial_latency);
 
   /// Sets the maximum of concurrent requests of this host at the target, 0 for
   /// the default, and the number of hosts that share the target's slots.
-  void SetShare(int most, size_t hosts);
+  void SetLimits(int max_requests, size_t host_count);
 
   void OnSent(time_point now);
   /// Records the end of an attempt that was sent at `sent_at`. `objective` is
   /// the latency objective of its route.
-  void OnEnded(attempt_verdict verdict, time_point sent, duration objective,
+  void OnEnded(attempt_verdict verdict, time_point sent_at, duration objective,
                time_point now);
 
   /// Records the load that the target reported at `reported_at`, and the mean
   /// latency over all hosts, 0 if that is not known.
-  void OnTold(const told_load& load, time_point told_at, duration latency);
+  void OnLoadReport(const reported_load& load, time_point reported_at,
+                    duration all_hosts_latency);
   /// Returns the latest reported load, or nullptr if it is too old to use.
-  const told_load* Told(time_point now) const;
-  time_point told_at() const { return told_at_; }
+  const reported_load* ReportedLoad(time_point now) const;
+  time_point reported_at() const { return reported_at_; }
 
   /// Returns whether the limit allows one more request now.
-  bool HasRoom(time_point now) const;
+  bool HasCapacity(time_point now) const;
   /// Returns the end of the pause before the next request; a time in the past
   /// if there is no pause.
   time_point PausedUntil() const;
   /// False during the backoff after a failed connection.
   bool IsReachable(time_point now) const { return now >= unreachable_until_; }
   /// False also while the target is avoided because it fails its requests.
-  bool IsTrusted(time_point now) const {
+  bool IsHealthy(time_point now) const {
     return IsReachable(now) && now >= failing_until_;
   }
 
   /// Returns the expected latency of one more request.
   duration ExpectedLatency(time_point now) const;
-  duration latency() const { return latency_; }
+  duration mean_latency() const { return mean_latency_; }
   /// Returns the latency that most responses stay below: the mean plus the
   /// mean deviation.
-  duration LikelyLatency() const { return latency_ + deviation_; }
+  duration LikelyLatency() const { return mean_latency_ + latency_deviation_; }
   /// Returns the mean latency of the requests served since the last call, and
   /// their number.
-  std::pair<duration, uint32_t> TakeRecent();
+  std::pair<duration, uint32_t> TakeRecentLatency();
   int in_flight() const { return in_flight_; }
   double limit() const { return limit_; }
   uint64_t served() const { return served_; }
 
  private:
   void AddLatency(duration latency);
-  duration ExpectedByTold(time_point now) const;
-  void Shrink(double factor);
-  void NoteShed();
+  duration ExpectedByReportedLoad(time_point now) const;
+  void ReduceLimit(double factor);
+  void OnShed();
 
   int slots_;
   int in_flight_ = 0;
   double limit_;  ///< Concurrent requests; below 1, one with a pause after it.
-  double most_;
-  double least_;
-  duration latency_;
-  duration deviation_{0};  ///< Mean absolute deviation of the latency.
-  time_point last_sent_{};
+  double max_limit_;
+  double min_limit_;
+  duration mean_latency_;
+  duration latency_deviation_{0};  ///< Mean absolute deviation of the latency.
+  time_point last_sent_at_{};
   uint64_t served_ = 0;
-  duration recent_sum_{0};
+  duration recent_latency_sum_{0};
   uint32_t recent_count_ = 0;
-  double failure_share_ = 0.0;
+  double failure_ratio_ = 0.0;
   time_point failing_until_{};
-  int not_owner_in_row_ = 0;
-  int sheds_in_row_ = 0;
+  int consecutive_not_owner_ = 0;
+  int consecutive_sheds_ = 0;
   time_point unreachable_until_{};
-  told_load told_{};
-  time_point told_at_{};
-  duration shared_latency_{0};  ///< Mean over all hosts; 0 if not known.
-  double usual_slowness_ = 1.0;
-  duration pause_{0};  ///< Current backoff after failed connections.
+  reported_load reported_load_{};
+  time_point reported_at_{};
+  duration all_hosts_latency_{0};  ///< Mean over all hosts; 0 if not known.
+  double mean_slowness_ = 1.0;
+  duration connect_backoff_{0};  ///< Current backoff after failed connections.
   /// Send times of the requests in flight, oldest first.
-  std::deque<time_point> sent_;
+  std::deque<time_point> sent_times_;
 };
 
 }  // namespace foxtailspread
--- a/include/foxtailspread/target_table.h
+++ b/include/foxtailspread/target_table.h
@@ -41,7 +41,7 @@
   uint64_t content_hash = 0;
   int32_t organisation = 0;
   urgency level = urgency::kOrdinary;
-  double charged = 0;  ///< Slot time billed to the organisation, in us.
+  double charged_us = 0;  ///< Slot time billed to the organisation, in us.
 };
 
 using attempt_list = boost::intrusive::list<
@@ -52,52 +52,53 @@
 /// The load of one target, as given to a picker.
 struct target_load {
   int32_t running = 0;
-  int32_t allowance = 0;  ///< Maximum of `running` now, 0 to its slots.
-  uint64_t served = 0;    ///< Attempts started so far; breaks ties.
+  int32_t allowance = 0;     ///< Maximum of `running` now, 0 to its slots.
+  uint64_t start_count = 0;  ///< Attempts started so far; breaks ties.
 };
 
 /// Chooses a target with a free slot other than `excluded`; kNoTarget if there
 /// is none.
 template <typename picker>
 concept target_picker = requires(picker p, std::span<const target_load> loads,
-                                 target_index avoid) {
-  { p.Pick(loads, avoid) } -> std::same_as<target_index>;
+                                 target_index excluded) {
+  { p.Pick(loads, excluded) } -> std::same_as<target_index>;
 };
 
 /// Chooses the target with the lowest used fraction of its allowance and, among
 /// equals, the fewest starts. A target that ramps up has a small allowance and
 /// so gets few requests.
 struct least_loaded_picker {
-  target_index Pick(std::span<const target_load> loads, target_index avoid);
+  target_index Pick(std::span<const target_load> loads, target_index excluded);
 };
 
 /// The request contents that ran when a target's connections last broke.
 struct break_record {
-  static constexpr int kMostContents = 8;
-  time_point at;
-  std::array<uint64_t, kMostContents> contents{};
-  int count = 0;
+  static constexpr int kMaxContents = 8;
+  time_point last_break_at;
+  std::array<uint64_t, kMaxContents> contents{};
+  int content_count = 0;
 };
 
 /// The state of one target.
 struct target_state {
   std::string name;
-  bool present = false;  ///< In the list given last.
+  bool listed = false;  ///< In the list given last.
   target_usability usability = target_usability::kUsable;
   int slots = 0;
-  int ramp = 1;            ///< Allowance reached since the target came up.
+  int ramp_allowance = 1;  ///< Allowance reached since the target came up.
   int ramp_successes = 0;  ///< Answers since the last step of the ramp.
-  int failures = 0;        ///< Since the last answer.
-  int ejections = 0;       ///< Since the last answer; each lasts longer.
+  int consecutive_failures = 0;   ///< Since the last answer.
+  int consecutive_ejections = 0;  ///< Since the last answer; each lasts longer.
   bool ejected = false;
   bool probation = false;  ///< One request at a time until one succeeds.
   bool suspected =
-      false;            ///< Reported as probably lost since it last answered.
-  bool rescue = false;  ///< Its repeatable requests are to run elsewhere.
-  time_point gate;      ///< No starts before this time.
+      false;  ///< Reported as probably lost since it last answered.
+  bool rerun_elsewhere =
+      false;                ///< Its repeatable requests are to run elsewhere.
+  time_point paused_until;  ///< No starts before this time.
   time_point last_answer;
   int archive_running = 0;
-  service_estimator service;
+  service_time_estimator service_times;
   break_record last_break;
   attempt_list attempts;  ///< In order of start.
   fair_queue queue;       ///< Used by keyed services only.
@@ -116,20 +117,22 @@
   /// request.
   static constexpr int kRefusalsToSuspect = 6;
   /// At most one in this many usable targets is ejected, but at least one.
-  static constexpr int kMostEjectedDivisor = 3;
+  static constexpr int kMaxEjectedDivisor = 3;
   /// Ejections double in length from the first to the longest.
-  static constexpr duration kFirstEjection{std::chrono::milliseconds{250}};
-  static constexpr duration kLongestEjection{std::chrono::seconds{10}};
+  static constexpr duration kInitialEjectionTime{
+      std::chrono::milliseconds{250}};
+  static constexpr duration kMaxEjectionTime{std::chrono::seconds{10}};
   /// Pauses of a failing target that is not ejected double likewise.
-  static constexpr duration kFirstGate{std::chrono::milliseconds{10}};
-  static constexpr duration kLongestGate{std::chrono::milliseconds{250}};
+  static constexpr duration kInitialPause{std::chrono::milliseconds{10}};
+  static constexpr duration kMaxPause{std::chrono::milliseconds{250}};
   /// Bounds of the silence after which a target counts as frozen.
-  static constexpr duration kLeastSilence{std::chrono::milliseconds{50}};
-  static constexpr duration kMostSilence{std::chrono::seconds{2}};
+  static constexpr duration kMinSilenceThreshold{std::chrono::milliseconds{50}};
+  static constexpr duration kMaxSilenceThreshold{std::chrono::seconds{2}};
   /// The same while no service time has been measured yet.
-  static constexpr duration kUnmeasuredSilence{std::chrono::milliseconds{250}};
+  static constexpr duration kDefaultSilenceThreshold{
+      std::chrono::milliseconds{250}};
   /// Pause of a target that was found silent.
-  static constexpr duration kFrozenGate{std::chrono::seconds{2}};
+  static constexpr duration kSilentTargetPause{std::chrono::seconds{2}};
   /// If several connections of a target break within this time of each other,
   /// the target counts as lost.
   static constexpr duration kBreakWindow{std::chrono::milliseconds{50}};
@@ -138,68 +141,70 @@
 
   /// Replaces the list of targets. Those that remain, by name, keep their state
   /// and index.
-  void Set(std::span<const target_config> targets, int slots);
+  void SetTargets(std::span<const target_config> targets, int slots);
   /// Returns the index of the target in the current list, or kNoTarget.
   target_index Find(std::string_view name) const;
   void SetUsability(target_index index, target_usability usability,
                     time_point now);
 
   int Size() const { return static_cast<int>(targets_.size()); }
-  target_state& At(target_index index) { return *targets_[Slot(index)]; }
+  target_state& At(target_index index) { return *targets_[Position(index)]; }
   const target_state& At(target_index index) const {
-    return *targets_[Slot(index)];
+    return *targets_[Position(index)];
   }
   std::span<const target_load> Loads() const { return loads_; }
   /// Returns whether the target may run one more request now.
-  bool HasFree(target_index index) const {
-    const target_load& load = loads_[Slot(index)];
+  bool HasFreeSlot(target_index index) const {
+    const target_load& load = loads_[Position(index)];
     return load.running < load.allowance;
   }
   /// Returns whether any target may run one more request now.
-  bool AnyFree() const { return free_count_ > 0; }
+  bool AnyFreeSlot() const { return free_count_ > 0; }
   /// Returns whether the target is in the list and set to be usable.
-  bool Usable(target_index index) const;
+  bool IsUsable(target_index index) const;
   int UsableCount() const { return usable_count_; }
   /// Returns the slots of all usable targets.
   int UsableSlots() const { return usable_slots_; }
   int ArchiveRunning() const { return archive_running_; }
   bool AnyRunning() const { return running_ > 0; }
   /// Returns the service times of all targets together.
-  const service_estimator& Service() const { return service_; }
+  const service_time_estimator& ServiceTimes() const { return service_times_; }
 
   /// Counts the start of an attempt, which occupies a slot.
-  void Started(running_attempt& attempt, time_point now);
+  void OnStarted(running_attempt& attempt, time_point now);
   /// Counts the end of an attempt and frees its slot.
-  void Released(running_attempt& attempt);
+  void OnReleased(running_attempt& attempt);
   /// Counts an answer: resets the failures and continues the ramp-up.
-  void Answered(const running_attempt& attempt, time_point now);
+  void OnAnswered(const running_attempt& attempt, time_point now);
   /// Counts a failure. Returns whether the target became suspected.
-  bool Failed(target_index index, attempt_end end, time_point now);
+  bool OnFailed(target_index index, attempt_outcome end, time_point now);
   /// Records a broken connection. Returns whether the target is probably lost:
   /// nothing else runs there, or another connection broke just before.
-  bool Broke(const running_attempt& attempt, time_point now);
+  bool OnConnectionBroke(const running_attempt& attempt, time_point now);
   /// Marks the target as probably lost and pauses it. Returns whether it was
   /// not suspected before.
-  bool Suspect(target_index index, time_point now, duration gate);
+  bool MarkSuspected(target_index index, time_point now, duration pause);
   /// Returns whether the target has given no answer for too long while it had
   /// requests to answer.
   bool IsSilent(target_index index, time_point now) const;
   /// Recomputes the allowances, which depend on the time.
-  void Refresh(time_point now);
+  void RefreshAllowances(time_point now);
 
  private:
-  static size_t Slot(target_index index) { return static_cast<size_t>(index); }
+  static size_t Position(target_index index) {
+    return static_cast<size_t>(index);
+  }
   void CountUsable();
   void SetLoad(target_index index, int running, int allowance);
   void UpdateAllowance(target_index index, time_point now);
   bool MayEject() const;
-  void Gate(target_state& target, time_point now);
+  void PauseOrEject(target_state& target, time_point now);
   duration SilenceThreshold() const;
 
   placement_kind placement_;
   std::vector<std::unique_ptr<target_state>> targets_;
   std::vector<target_load> loads_;
-  service_estimator service_;
+  service_time_estimator service_times_;
   time_point last_answer_;
   int running_ = 0;
   int free_count_ = 0;
--- a/include/foxtailspread/targets_sharing.h
+++ b/include/foxtailspread/targets_sharing.h
@@ -41,7 +41,7 @@
     uint64_t digest = 0;  ///< 0 for an entry that cannot be parsed.
   };
 
-  std::map<std::string, known_entry> known_;
+  std::map<std::string, known_entry> known_entries_;
   uint64_t digest_ = 0;
 };
 
@@ -51,7 +51,7 @@
 
 /// Converts the changes of a record to the form in which a copy of the list
 /// applies them.
-std::vector<store_change<target_entry>> ChangesOf(targets_record record);
+std::vector<store_change<target_entry>> ToStoreChanges(targets_record record);
 
 }  // namespace foxtailspread
 
--- a/include/foxtailspread/told_load.h
+++ b/include/foxtailspread/told_load.h
@@ -22,19 +22,19 @@
 namespace foxtailspread {
 
 /// A target's load at the time of its response.
-struct told_load {
+struct reported_load {
   int running = 0;        ///< Requests that it runs.
   int waiting = 0;        ///< Requests in its queue.
   double slowness = 1.0;  ///< Run time relative to the usual one.
 
   int occupied() const { return running + waiting; }
-  bool operator==(const told_load&) const = default;
+  bool operator==(const reported_load&) const = default;
 };
 
 /// A target's load as hosts exchange it.
 struct load_sample {
   uint32_t target = 0;  ///< ShortIdOf the target's id.
-  told_load load{};
+  reported_load load{};
   uint32_t age_ms = 0;      ///< Time since the target's report.
   uint32_t latency_us = 0;  ///< Mean latency, 0 if not known.
   uint32_t served = 0;      ///< Requests that it is the mean of.
@@ -49,7 +49,7 @@
 /// Returns the period at which each host sends its load samples. A load is most
 /// useful while it is younger than the run time of a request, but a single host
 /// receives the samples of all others, so the period grows with their number.
-duration ShareLoadsEvery(size_t hosts);
+duration LoadSharingPeriod(size_t host_count);
 
 /// Merges the load samples of all hosts, at the host that broadcasts them.
 ///
@@ -57,7 +57,7 @@
 /// aggregator.Add(report.loads, now);
 /// Broadcast(aggregator.TakeFresh(now));
 /// @endcode
-class load_board {
+class load_aggregator {
  public:
   void Add(std::span<const load_sample> samples, time_point now);
 
@@ -67,8 +67,8 @@
 
  private:
   struct entry {
-    told_load load;
-    time_point told_at{};
+    reported_load load;
+    time_point reported_at{};
     double latency_us = 0.0;
     bool fresh = false;
   };
--- a/include/foxtailspread/waiting_policy.h
+++ b/include/foxtailspread/waiting_policy.h
@@ -17,12 +17,12 @@
 /// Returns the maximum wait of a request that takes `likely_latency` once it is
 /// sent, which is what that leaves of its objective. A request that waits
 /// longer would be late and use capacity that another needs to be in time.
-duration MostWait(duration objective, duration likely_latency);
+duration MaxWait(duration objective, duration likely_latency);
 
 /// Returns how long a queue counts as overloaded after it refused several
 /// requests in succession. An overloaded queue refuses further requests early,
 /// so that callers can retry at another host within the objective.
-duration OverloadTime(duration objective);
+duration OverloadDuration(duration objective);
 
 /// Returns the approximate time after which a caller that an overloaded queue
 /// refused should retry.
@@ -31,7 +31,7 @@
 /// Returns whether the newest request is sent first. `oldest_wait` is the wait
 /// of the oldest request so far: if it is long, the queue does not drain, and
 /// only new requests can still be answered in time.
-bool GoesNewestFirst(duration oldest_wait, duration objective);
+bool ShouldSendNewestFirst(duration oldest_wait, duration objective);
 
 }  // namespace foxtailspread
 
--- a/include/foxtailspread/zone_fanout.h
+++ b/include/foxtailspread/zone_fanout.h
@@ -44,7 +44,8 @@
 /// a fraction of its zone's datagrams. Datagrams with the same `rotation` take
 /// the same path.
 std::vector<fanout_hop> PlanFanout(std::span<const fanout_host> hosts,
-                                   std::string_view own_zone, uint64_t turn);
+                                   std::string_view own_zone,
+                                   uint64_t rotation);
 
 }  // namespace foxtailspread
 
--- a/src/core/action_id.cc
+++ b/src/core/action_id.cc
@@ -199,8 +199,8 @@
   if (text.starts_with(kMintedActionPrefix)) {
     return ParseMinted(text, organisation, secret);
   }
-  const bool has_valid_length = text.size() >= kMinCallerActionLength &&
-                                text.size() <= kMaxCallerActionLength;
+  const bool has_valid_length = text.size() >= kMinCallerActionIdLength &&
+                                text.size() <= kMaxCallerActionIdLength;
   if (!has_valid_length || !std::ranges::all_of(text, IsCallerIdCharacter)) {
     return error{error_code::kMalformed, "Foxtail-Action",
                  "this is not an action identifier",
--- a/src/core/action_table.cc
+++ b/src/core/action_table.cc
@@ -6,7 +6,8 @@
 
 bool action_tenure::Covers(uint64_t minted_epoch) const {
   return minted_epoch == epoch ||
-         std::ranges::find(covered, minted_epoch) != covered.end();
+         std::ranges::find(covered_epochs, minted_epoch) !=
+             covered_epochs.end();
 }
 
 std::string_view ToString(action_outcome outcome) {
@@ -58,18 +59,18 @@
 // Callers may retry only within the resend window, so once the table has kept
 // all identifiers for that long, one without an entry is new. Without the wait,
 // an action that ran just before a takeover could run again.
-unseen_action ClassifyCallerMade(const table_memory& context, time_point now) {
+unseen_action ClassifyCallerMade(const unseen_action_context& context,
+                                 time_point now) {
   const bool may_be_resend =
-      now < context.caller_made_since + context.resend_window;
-  return may_be_resend ? unseen_action::kUnknowable
+      now < context.caller_made_ids_complete_since + context.resend_window;
+  return may_be_resend ? unseen_action::kMayHaveBegun
                        : unseen_action::kNeverBegun;
 }
 
 }  // namespace
 
-unseen_action at_most_once_rules::JudgeUnseen(const action_id& id,
-                                              const table_memory& context,
-                                              time_point now) {
+unseen_action at_most_once_rules::ClassifyUnseen(
+    const action_id& id, const unseen_action_context& context, time_point now) {
   if (!id.minted) {
     return ClassifyCallerMade(context, now);
   }
@@ -80,16 +81,17 @@
     return unseen_action::kLaterEpoch;
   }
   if (!context.tenure.Covers(id.minted->epoch)) {
-    return unseen_action::kUnknowable;
+    return unseen_action::kMayHaveBegun;
   }
   // A sequence number that this tenure never reserved, under its own epoch,
   // means that two stewards used the epoch: the other one may have run it.
   const bool never_begun =
       context.log.StateOf(id.minted->sequence) == sequence_state::kNeverBegun;
-  return never_begun ? unseen_action::kNeverBegun : unseen_action::kUnknowable;
+  return never_begun ? unseen_action::kNeverBegun
+                     : unseen_action::kMayHaveBegun;
 }
 
-action_outcome at_most_once_rules::JudgeNotRun(bool unknown_was_reported) {
+action_outcome at_most_once_rules::NotRunOutcome(bool unknown_was_reported) {
   return unknown_was_reported ? action_outcome::kUnknown
                               : action_outcome::kNotRun;
 }
