--- a/src/core/assigner_lease.cc
+++ b/src/core/assigner_lease.cc
@@ -62,7 +62,7 @@
 
 /// The longest time that a former holder can keep renewing its grants, used if
 /// it is not known when it stopped.
-constexpr duration kMaxRenewalTime = kLeaseTerm + kKeepAfterLapse;
+constexpr duration kMaxRenewalTime = kLeaseTerm + kMaxRenewalAfterLapse;
 
 /// Only hosts that have reported within this time are chosen as successors.
 constexpr duration kSuccessorTimeout{std::chrono::milliseconds{2500}};
@@ -82,9 +82,10 @@
     std::span<const former_holder> former_holders) {
   std::string text;
   for (const former_holder& former : former_holders) {
-    text += (text.empty() ? "" : ", ") + former.host + " " +
-            std::to_string(ceil<milliseconds>(former.may_renew).count()) +
-            " ms";
+    text +=
+        (text.empty() ? "" : ", ") + former.host + " " +
+        std::to_string(ceil<milliseconds>(former.renewal_time_left).count()) +
+        " ms";
   }
   return text;
 }
@@ -96,12 +97,15 @@
   for (const former_holder& former : lease.predecessors) {
     predecessors.push_back(
         {{"host", former.host},
-         {"may_renew_ms", ceil<milliseconds>(former.may_renew).count()}});
-  }
-  return nlohmann::json{
-      {"host", lease.host},       {"address", lease.address},
-      {"renewal", lease.renewal}, {"released", lease.released},
-      {"hosts", lease.hosts},     {"predecessors", std::move(predecessors)}}
+         {"may_renew_ms",
+          ceil<milliseconds>(former.renewal_time_left).count()}});
+  }
+  return nlohmann::json{{"host", lease.host},
+                        {"address", lease.address},
+                        {"renewal", lease.renewal_count},
+                        {"released", lease.released},
+                        {"hosts", lease.host_count},
+                        {"predecessors", std::move(predecessors)}}
       .dump();
 }
 
@@ -115,14 +119,14 @@
   reader.Require({"host", "renewal"});
   reader.Read("host", lease.host);
   reader.Read("address", lease.address);
-  reader.Read("renewal", lease.renewal);
+  reader.Read("renewal", lease.renewal_count);
   reader.Read("released", lease.released);
-  reader.Read("hosts", lease.hosts);
+  reader.Read("hosts", lease.host_count);
   reader.ReadList("predecessors", [&](object_reader& item) {
     former_holder& former = lease.predecessors.emplace_back();
     item.Require({"host", "may_renew_ms"});
     item.Read("host", former.host);
-    item.ReadMilliseconds("may_renew_ms", former.may_renew,
+    item.ReadMilliseconds("may_renew_ms", former.renewal_time_left,
                           {duration{0}, kMaxRenewalTime});
   });
   if (const status read = reader.Finish(); !read) {
@@ -137,13 +141,13 @@
   return stagger + (narrow_link ? kNarrowLinkTakeoverDelay : duration{0});
 }
 
-bool key_assigner::MayTake(time_point now) const {
-  if (!able_since_) {
+bool key_assigner::MayTakeLease(time_point now) const {
+  if (!ready_since_) {
     return false;
   }
   const duration delay = TakeoverDelay();
   if (!lease_) {
-    return now >= *able_since_ + delay;
+    return now >= *ready_since_ + delay;
   }
   if (lease_->host == settings_.host && !lease_->released) {
     // The lease is this host's own. It lapsed during a store outage or was held
@@ -153,24 +157,24 @@
   if (lease_->released) {
     return now >= lease_seen_at_ + delay / 4;
   }
-  if (MayFollow(now)) {
+  if (MaySucceed(now)) {
     return true;
   }
   return now >= lease_seen_at_ + kTakeoverTimeout + delay;
 }
 
-bool key_assigner::MayFollow(time_point now) const {
-  if (!heartbeat_heard_ || heartbeat_heard_->host != lease_->host) {
+bool key_assigner::MaySucceed(time_point now) const {
+  if (!last_heartbeat_ || last_heartbeat_->host != lease_->host) {
     return false;
   }
-  const auto& successors = heartbeat_heard_->successors;
+  const auto& successors = last_heartbeat_->successors;
   const auto own_position =
       std::find(successors.begin(), successors.end(), settings_.host);
   // A host that has just taken the lease gets time to send its first
   // heartbeats. Otherwise hosts that remember old heartbeats of each other
   // would repeatedly take the lease from one another.
   const time_point silent_since =
-      std::max(heartbeat_heard_at_, lease_taken_at_);
+      std::max(last_heartbeat_at_, holder_changed_at_);
   return own_position != successors.end() &&
          now >= silent_since + kHeartbeatTimeout +
                     kSuccessorStagger *
@@ -184,8 +188,8 @@
       lease_->host != heartbeat.host) {
     return;
   }
-  heartbeat_heard_ = heartbeat;
-  heartbeat_heard_at_ = now;
+  last_heartbeat_ = heartbeat;
+  last_heartbeat_at_ = now;
   if (lease_ && lease_->host == heartbeat.host) {
     // Renewals of the lease are not read while heartbeats arrive. Without the
     // revision from the heartbeat, the first attempt at a takeover would fail.
@@ -195,12 +199,12 @@
 }
 
 size_t key_assigner::HostCount() const {
-  const size_t recorded = lease_ ? lease_->hosts : 1;
+  const size_t recorded = lease_ ? lease_->host_count : 1;
   if (was_holder_) {
     return std::max(recorded, hosts_seen_.size());
   }
-  return heartbeat_heard_ ? std::max<size_t>(heartbeat_heard_->hosts, 1)
-                          : recorded;
+  return last_heartbeat_ ? std::max<size_t>(last_heartbeat_->host_count, 1)
+                         : recorded;
 }
 
 /// Adds the latency that one host measured to the running mean, weighted by its
@@ -223,12 +227,12 @@
                               .address = report.address,
                               .lease_revision = report.lease_revision,
                               .link_mbps = report.link_mbps,
-                              .seen = now};
+                              .last_seen = now};
   // A former holder that has read this host's lease renews no more grants. The
   // same holds for a new process on the former holder's host.
   const auto former = predecessors_.find(report.host);
   if (was_holder_ && former != predecessors_.end() &&
-      report.lease_revision >= acting_from_revision_) {
+      report.lease_revision >= acquired_revision_) {
     former->second = std::min(former->second, now);
   }
   for (const target_latency& sample : report.targets) {
@@ -256,7 +260,7 @@
     time_point now) const {
   std::vector<std::string> names;
   for (const auto& [name, host] : hosts_seen_) {
-    if (name != settings_.host && now - host.seen <= kSuccessorTimeout) {
+    if (name != settings_.host && now - host.last_seen <= kSuccessorTimeout) {
       names.push_back(name);
     }
   }
@@ -306,48 +310,48 @@
 void key_assigner::SendHeartbeat(time_point now, assigner_actions& out) {
   // Without the store this host can't move keys. It stops its heartbeats so
   // that a successor that reaches the store takes over.
-  if (now < heartbeat_at_ || !store_answers_) {
+  if (now < next_heartbeat_at_ || !store_available_) {
     return;
   }
-  heartbeat_at_ = now + kHeartbeatPeriod;
+  next_heartbeat_at_ = now + kHeartbeatPeriod;
   ChooseSuccessors(now);
   const assigner_heartbeat heartbeat{.host = settings_.host,
                                      .lease_revision = lease_revision_,
                                      .successors = successors_,
-                                     .hosts = HostCount()};
+                                     .host_count = HostCount()};
   out.emplace_back(heartbeat_action{heartbeat, OtherHosts(now)});
   ShareHosts(now, out);
 }
 
 void key_assigner::ShareHosts(time_point now, assigner_actions& out) {
-  if (now < share_hosts_at_ || successors_.empty()) {
+  if (now < next_hosts_share_at_ || successors_.empty()) {
     return;
   }
-  share_hosts_at_ = now + kHostsSharePeriod;
+  next_hosts_share_at_ = now + kHostsSharePeriod;
   hosts_record record;
   for (const auto& [name, host] : hosts_seen_) {
     record.hosts.push_back({name, host.zone, host.address, host.link_mbps});
   }
   for (const std::string& name : successors_) {
-    out.emplace_back(hosts_action{hosts_seen_[name].address, record});
+    out.emplace_back(share_hosts_action{hosts_seen_[name].address, record});
   }
 }
 
 void key_assigner::OnHosts(hosts_record record, time_point now) {
-  hosts_told_ = std::move(record);
-  hosts_told_at_ = now;
+  shared_hosts_ = std::move(record);
+  shared_hosts_at_ = now;
 }
 
 /// Adds the hosts that the former holder knew, until they report themselves.
-void key_assigner::TakeHosts(time_point now) {
-  if (now - hosts_told_at_ > kSharedHostsTtl) {
+void key_assigner::AdoptSharedHosts(time_point now) {
+  if (now - shared_hosts_at_ > kSharedHostsTtl) {
     return;
   }
-  for (const host_contact& host : hosts_told_.hosts) {
+  for (const host_contact& host : shared_hosts_.hosts) {
     hosts_seen_.try_emplace(host.name, host_state{.zone = host.zone,
                                                   .address = host.address,
                                                   .link_mbps = host.link_mbps,
-                                                  .seen = now});
+                                                  .last_seen = now});
   }
 }
 
@@ -365,7 +369,7 @@
     hosts.push_back({.zone = host.zone,
                      .address = host.address,
                      .link_mbps = host.link_mbps,
-                     .may_relay = now - host.seen <= kRelayTimeout,
+                     .may_relay = now - host.last_seen <= kRelayTimeout,
                      .direct = is_successor});
   }
   // The route stays the same for a heartbeat period, so that changes sent in
@@ -379,34 +383,34 @@
 /// Updates the time since which this host has been able to take the lease. All
 /// hosts receive the declarations at the same time, and each counts its own
 /// takeover delay from then.
-void key_assigner::NoteAble(time_point now) {
-  if (!objects_read_ || !store_answers_ || leaving_ || !services_known_) {
-    able_since_.reset();
-  } else if (!able_since_) {
-    able_since_ = now;
+void key_assigner::UpdateReadiness(time_point now) {
+  if (!objects_read_ || !store_available_ || stopping_ || !services_known_) {
+    ready_since_.reset();
+  } else if (!ready_since_) {
+    ready_since_ = now;
   }
 }
 
-void key_assigner::StepLease(time_point now, assigner_actions& out) {
-  NoteAble(now);
+void key_assigner::UpdateLease(time_point now, assigner_actions& out) {
+  UpdateReadiness(now);
   if (was_holder_ && !IsHolder(now)) {
-    Lapse(out);
+    OnLeaseLapsed(out);
   }
   RetryWrite(lease_write_, now, out);
-  if (was_holder_ && !leaving_) {
+  if (was_holder_ && !stopping_) {
     SendHeartbeat(now, out);
   }
-  if (lease_write_ || leaving_) {
+  if (lease_write_ || stopping_) {
     return;
   }
   if (was_holder_) {
-    if (now >= renew_at_) {
+    if (now >= next_lease_renewal_at_) {
       std::erase_if(hosts_seen_, [&](const auto& entry) {
-        return now - entry.second.seen > kHostTimeout;
+        return now - entry.second.last_seen > kHostTimeout;
       });
       assigner_lease next = *lease_;
-      next.renewal = lease_->renewal + 1;
-      next.hosts = std::max<size_t>(hosts_seen_.size(), 1);
+      next.renewal_count = lease_->renewal_count + 1;
+      next.host_count = std::max<size_t>(hosts_seen_.size(), 1);
       next.predecessors.clear();
       for (const auto& [name, stops_at] : predecessors_) {
         if (now < stops_at) {
@@ -417,12 +421,12 @@
     }
     return;
   }
-  if (MayTake(now)) {
+  if (MayTakeLease(now)) {
     assigner_lease own_lease;
     own_lease.host = settings_.host;
     own_lease.address = settings_.address;
-    own_lease.renewal = lease_ ? lease_->renewal + 1 : 1;
-    own_lease.hosts = lease_ ? lease_->hosts : 1;
+    own_lease.renewal_count = lease_ ? lease_->renewal_count + 1 : 1;
+    own_lease.host_count = lease_ ? lease_->host_count : 1;
     own_lease.predecessors = Predecessors(now);
     WriteLease(own_lease, now, out);
   }
@@ -442,13 +446,15 @@
   const duration elapsed = now - lease_read_at_;
   std::vector<former_holder> former_holders = lease_->predecessors;
   for (former_holder& former : former_holders) {
-    former.may_renew -= elapsed;
+    former.renewal_time_left -= elapsed;
   }
   std::erase_if(former_holders, [&](const former_holder& former) {
-    return former.host == lease_->host || former.may_renew <= duration{0};
+    return former.host == lease_->host ||
+           former.renewal_time_left <= duration{0};
   });
-  former_holders.push_back(
-      {lease_->host, lease_->released ? kLeaveTime : kMaxRenewalTime});
+  former_holders.push_back({lease_->host, lease_->released
+                                              ? kLeaseReleaseTimeout
+                                              : kMaxRenewalTime});
   // A previous process on this host has ended and renews nothing.
   std::erase_if(former_holders, [&](const former_holder& former) {
     return former.host.empty() || former.host == settings_.host;
@@ -460,41 +466,42 @@
                               assigner_actions& out) {
   lease_write_ = pending_write{.name = std::string{kLeaseName},
                                .content = FormatLease(next),
-                               .expected = lease_revision_};
-  lease_write_->first_sent = now;
-  Send(*lease_write_, now, out);
+                               .expected_revision = lease_revision_};
+  lease_write_->first_sent_at = now;
+  SendWrite(*lease_write_, now, out);
 }
 
-void key_assigner::Send(pending_write& write, time_point now,
-                        assigner_actions& out) {
+void key_assigner::SendWrite(pending_write& write, time_point now,
+                             assigner_actions& out) {
   write.id = ++last_id_;
   write.in_flight = true;
   write.retry_at = now + kWriteRetryDelay;
   out.emplace_back(store_write{.id = write.id,
                                .name = write.name,
                                .content = write.content,
-                               .expected_revision = write.expected});
+                               .expected_revision = write.expected_revision});
 }
 
 void key_assigner::RetryWrite(std::optional<pending_write>& write,
                               time_point now, assigner_actions& out) {
   if (write && !write->in_flight && now >= write->retry_at) {
-    Send(*write, now, out);
+    SendWrite(*write, now, out);
   }
 }
 
 void key_assigner::OnLeaseWritten(const write_report& report, time_point now,
                                   assigner_actions& out) {
   lease_write_->in_flight = false;
-  const bool written = report.end == write_end::kWritten ||
-                       (report.end == write_end::kConflict &&
-                        report.content == lease_write_->content);
-  if (!written && report.end != write_end::kConflict) {
+  const bool written =
+      report.outcome == conditional_write_outcome::kWritten ||
+      (report.outcome == conditional_write_outcome::kConflict &&
+       report.content == lease_write_->content);
+  if (!written && report.outcome != conditional_write_outcome::kConflict) {
     // A renewal is given up when the lease term has passed, because another
     // host may have taken the lease. A release is retried until it
     // succeeds or the process ends.
-    const bool term_passed = now - lease_write_->first_sent > kLeaseTerm;
-    if (term_passed && !leaving_) {
+    const bool term_passed = now - lease_write_->first_sent_at > kLeaseTerm;
+    if (term_passed && !stopping_) {
       lease_write_.reset();
     }
     return;
@@ -504,77 +511,77 @@
                                          : report.content);
   if (report.revision > lease_revision_ && parsed) {
     if (!lease_ || lease_->host != parsed.value().host) {
-      lease_taken_at_ = now;
+      holder_changed_at_ = now;
     }
     lease_ = parsed.value();
     lease_revision_ = report.revision;
     lease_seen_at_ = now;
     lease_read_at_ = now;
   }
-  if (!written && leaving_ && lease_ && lease_->host == settings_.host &&
+  if (!written && stopping_ && lease_ && lease_->host == settings_.host &&
       !lease_->released) {
     // A renewal that was in transit took effect before the release. Without
     // another attempt at the release, no host would take the lease until it or
     // the heartbeats time out.
-    Release(now, out);
+    ReleaseLease(now, out);
     return;
   }
   if (!written) {
     // Another host has written the lease meanwhile, so it is alive.
-    heartbeat_heard_at_ = std::max(heartbeat_heard_at_, now);
-    LoseLease(out);
+    last_heartbeat_at_ = std::max(last_heartbeat_at_, now);
+    OnLeaseLost(out);
     return;
   }
-  if (leaving_) {
-    keeping_until_ = {};
+  if (stopping_) {
+    renewing_until_ = {};
     return;
   }
-  held_until_ = completed.first_sent + kLeaseTerm;
-  renew_at_ = completed.first_sent + kLeaseRenewalPeriod;
+  held_until_ = completed.first_sent_at + kLeaseTerm;
+  next_lease_renewal_at_ = completed.first_sent_at + kLeaseRenewalPeriod;
   if (!was_holder_ && IsHolder(now)) {
     was_holder_ = true;
-    keeping_until_ = {};
-    taken_at_ = now;
-    acting_from_revision_ = report.revision;
-    synced_since_taken_ = false;
+    renewing_until_ = {};
+    acquired_at_ = now;
+    acquired_revision_ = report.revision;
+    synced_since_acquired_ = false;
     successors_.clear();
     // After a network partition a lease write that was still in transit may be
     // the first to succeed. Orders that failed before it may have failed
     // because of this host's own network.
-    ForgetFailedOrders();
-    TakeHosts(now);
+    ResetFailureCounts();
+    AdoptSharedHosts(now);
     predecessors_.clear();
     for (const former_holder& former : lease_->predecessors) {
-      predecessors_.emplace(former.host, now + former.may_renew);
+      predecessors_.emplace(former.host, now + former.renewal_time_left);
     }
     out.emplace_back(
-        assigner_note{.what = assigner_note::kind::kLeaseTaken,
+        assigner_note{.note_kind = assigner_note::kind::kLeaseTaken,
                       .detail = DescribeFormerHolders(lease_->predecessors)});
   }
 }
 
-void key_assigner::Lapse(assigner_actions& out) {
+void key_assigner::OnLeaseLapsed(assigner_actions& out) {
   const bool taken_over = lease_ && lease_->host != settings_.host;
   const time_point lapsed_at = held_until_;
   if (taken_over || lapsed_at == time_point{}) {
-    LoseLease(out);
+    OnLeaseLost(out);
     return;
   }
   // As far as is known, no other host has taken the lease. This host moves no
   // more keys but keeps renewing its grants for a limited time.
   was_holder_ = false;
-  keeping_until_ = lapsed_at + kKeepAfterLapse;
+  renewing_until_ = lapsed_at + kMaxRenewalAfterLapse;
   for (auto& [name, service] : services_) {
     service.transfers.clear();
-    service.write.reset();
+    service.record_write.reset();
   }
-  out.emplace_back(assigner_note{.what = assigner_note::kind::kLeaseLost,
+  out.emplace_back(assigner_note{.note_kind = assigner_note::kind::kLeaseLost,
                                  .detail = "lapsed, renews what it granted"});
 }
 
-void key_assigner::LoseLease(assigner_actions& out) {
+void key_assigner::OnLeaseLost(assigner_actions& out) {
   held_until_ = {};
-  keeping_until_ = {};
+  renewing_until_ = {};
   if (!was_holder_) {
     return;
   }
@@ -582,35 +589,35 @@
   for (auto& [name, service] : services_) {
     service.transfers.clear();
     service.renewals.clear();
-    service.write.reset();
+    service.record_write.reset();
   }
-  out.emplace_back(assigner_note{.what = assigner_note::kind::kLeaseLost,
+  out.emplace_back(assigner_note{.note_kind = assigner_note::kind::kLeaseLost,
                                  .detail = "taken over"});
 }
 
-void key_assigner::Leave(time_point now, assigner_actions& out) {
-  leaving_ = true;
+void key_assigner::PrepareToStop(time_point now, assigner_actions& out) {
+  stopping_ = true;
   if (!was_holder_ || !lease_ || !IsHolder(now)) {
     return;
   }
   // This host moves no more keys. It keeps renewing its grants until the store
   // has confirmed the release, because during a store outage no other host can
   // take the lease.
-  keeping_until_ = now + kLeaveTime;
+  renewing_until_ = now + kLeaseReleaseTimeout;
   was_holder_ = false;
   held_until_ = {};
   for (auto& [name, service] : services_) {
     service.transfers.clear();
-    service.write.reset();
+    service.record_write.reset();
   }
-  out.emplace_back(assigner_note{.what = assigner_note::kind::kLeaseLost,
+  out.emplace_back(assigner_note{.note_kind = assigner_note::kind::kLeaseLost,
                                  .detail = "leaving"});
-  Release(now, out);
+  ReleaseLease(now, out);
 }
 
-void key_assigner::Release(time_point now, assigner_actions& out) {
+void key_assigner::ReleaseLease(time_point now, assigner_actions& out) {
   assigner_lease released_lease = *lease_;
-  released_lease.renewal = lease_->renewal + 1;
+  released_lease.renewal_count = lease_->renewal_count + 1;
   released_lease.released = true;
   WriteLease(released_lease, now, out);
 }
--- a/src/core/authority.cc
+++ b/src/core/authority.cc
@@ -9,9 +9,9 @@
 
 }  // namespace
 
-promise_answer promise_ledger::Answer(const member& requester,
-                                      const promise_ask& request,
-                                      time_point now) {
+promise_answer promise_ledger::AnswerRequest(const member& requester,
+                                             const promise_request& request,
+                                             time_point now) {
   promise_answer answer{request.range, request.epoch, request.revision,
                         request.asked_at_us, promise_verdict::kGranted};
   if (request.to_life != life_) {
@@ -31,23 +31,23 @@
   const bool released = request.released_epoch != 0 &&
                         request.released_epoch == current.epoch &&
                         request.released_by == current.holder;
-  if (current.holder != requester && now < current.until && !released) {
+  if (current.holder != requester && now < current.expires_at && !released) {
     answer.verdict = promise_verdict::kHeldByOther;
     return answer;
   }
   current.holder = requester;
   current.epoch = request.epoch;
-  current.until = now + timing_.promise;
+  current.expires_at = now + timing_.promise;
   return answer;
 }
 
-std::optional<time_point> promise_ledger::BoundUntil(std::string_view range,
-                                                     time_point now) const {
+std::optional<time_point> promise_ledger::PromisedUntil(std::string_view range,
+                                                        time_point now) const {
   const auto found = promises_.find(range);
-  if (found == promises_.end() || now >= found->second.until) {
+  if (found == promises_.end() || now >= found->second.expires_at) {
     return std::nullopt;
   }
-  return found->second.until;
+  return found->second.expires_at;
 }
 
 uint64_t promise_ledger::HighestEpoch(std::string_view range) const {
@@ -68,10 +68,11 @@
   // members made to a surviving host may not have expired, so every claim
   // waits for a promise's full duration. The first record seen is treated as a
   // reset for the same reason.
-  const bool reset = record_.revision == 0 || record.resets != record_.resets;
-  const bool reordered = record.order != record_.order;
+  const bool reset =
+      record_.revision == 0 || record.reset_count != record_.reset_count;
+  const bool reordered = record.roster != record_.roster;
   if (reset) {
-    claim_after_ = now + timing_.promise + timing_.promise / 100;
+    earliest_claim_at_ = now + timing_.promise + timing_.promise / 100;
   }
   record_ = record;
   outranked_ = false;
@@ -80,10 +81,10 @@
     // The first host of the new order only now starts to request promises. A
     // successor that claimed at the same time would take them from it, and the
     // two would keep renumbering the roster against each other.
-    claim_after_ = std::max(claim_after_, now + timing_.promise) +
-                   timing_.stagger * index_;
+    earliest_claim_at_ = std::max(earliest_claim_at_, now + timing_.promise) +
+                         timing_.stagger * index_;
   }
-  const uint64_t epoch = index_ < 0 ? 0 : record_.order[index_].epoch;
+  const uint64_t epoch = index_ < 0 ? 0 : record_.roster[index_].epoch;
   if (epoch != epoch_) {
     stepped_down_ = false;
     released_epoch_ = 0;
@@ -95,12 +96,12 @@
     }
   }
   epoch_ = epoch;
-  next_ask_ = now;
+  next_request_at_ = now;
 }
 
 bool range_authority::MayClaim(time_point now,
                                const promise_ledger& ledger) const {
-  if (index_ < 0 || stepped_down_ || epoch_ <= refused_epoch_) {
+  if (index_ < 0 || stepped_down_ || epoch_ <= highest_refused_epoch_) {
     return false;
   }
   if (now < ActingUntil()) {
@@ -109,7 +110,7 @@
   if (ledger.HighestEpoch(range_) > epoch_) {
     return false;
   }
-  if (now < claim_after_) {
+  if (now < earliest_claim_at_) {
     return false;
   }
   if (index_ == 0 || released_epoch_ != 0) {
@@ -117,38 +118,42 @@
   }
   // As long as this host's own promise has not expired, the predecessor
   // requested it recently and is presumed alive.
-  return !ledger.BoundUntil(range_, now).has_value();
+  return !ledger.PromisedUntil(range_, now).has_value();
 }
 
-promise_ask range_authority::MakeAsk(const member& witness,
-                                     time_point now) const {
-  return promise_ask{range_,         epoch_,        record_.revision,
-                     witness.life,   ToMicros(now), released_by_,
-                     released_epoch_};
+promise_request range_authority::MakeRequest(const member& witness,
+                                             time_point now) const {
+  return promise_request{range_,         epoch_,        record_.revision,
+                         witness.life,   ToMicros(now), released_by_,
+                         released_epoch_};
 }
 
-void range_authority::ClaimAfter(const member& predecessor, uint64_t epoch) {
+void range_authority::OnPredecessorRelease(const member& predecessor,
+                                           uint64_t epoch) {
   if (epoch >= epoch_) {
     return;  // A stale message: a predecessor's epoch is below this host's.
   }
   released_by_ = predecessor;
   released_epoch_ = epoch;
-  next_ask_ = time_point{};
+  next_request_at_ = time_point{};
 }
 
-bool range_authority::Blocked(time_point now,
-                              const promise_ledger& ledger) const {
+bool range_authority::IsBlocked(time_point now,
+                                const promise_ledger& ledger) const {
   if (index_ < 0 || now < ActingUntil()) {
     return false;
   }
-  const bool refused = epoch_ <= refused_epoch_ ||
+  const bool refused = epoch_ <= highest_refused_epoch_ ||
                        ledger.HighestEpoch(range_) > epoch_ || stepped_down_;
   const duration timeout = timing_.promise + timing_.stagger * (index_ + 1);
-  return refused && now >= std::max(unbound_since_, claim_after_) + timeout;
+  return refused &&
+         now >= std::max(last_promise_seen_at_, earliest_claim_at_) + timeout;
 }
 
-bool range_authority::AskSelf(time_point now, promise_ledger& ledger) {
-  const promise_answer answer = ledger.Answer(self_, MakeAsk(self_, now), now);
+bool range_authority::RequestOwnPromise(time_point now,
+                                        promise_ledger& ledger) {
+  const promise_answer answer =
+      ledger.AnswerRequest(self_, MakeRequest(self_, now), now);
   if (answer.verdict != promise_verdict::kGranted) {
     return false;
   }
@@ -157,33 +162,34 @@
 }
 
 void range_authority::Tick(time_point now, promise_ledger& ledger,
-                           std::vector<addressed_ask>& requests) {
+                           std::vector<addressed_promise_request>& requests) {
   ledger.NoteRevision(range_, record_.revision);
-  const auto promised_until = ledger.BoundUntil(range_, now);
+  const auto promised_until = ledger.PromisedUntil(range_, now);
   const bool acting = now < ActingUntil();
   if (promised_until || acting) {
-    unbound_since_ = now;
+    last_promise_seen_at_ = now;
   }
   if (!acting && index_ > 0 && promised_until && released_epoch_ == 0) {
     // The predecessor is presumed alive until this host's promise expires.
-    claim_after_ = std::max(claim_after_,
-                            *promised_until + timing_.stagger * (index_ - 1));
+    earliest_claim_at_ = std::max(
+        earliest_claim_at_, *promised_until + timing_.stagger * (index_ - 1));
   }
-  if (now < next_ask_ || !MayClaim(now, ledger)) {
+  if (now < next_request_at_ || !MayClaim(now, ledger)) {
     return;
   }
-  if (!AskSelf(now, ledger)) {
-    next_ask_ = now + timing_.retry;
+  if (!RequestOwnPromise(now, ledger)) {
+    next_request_at_ = now + timing_.retry;
     return;
   }
   for (const member& witness : Witnesses()) {
     if (witness == self_) {
       continue;
     }
-    requests.push_back(addressed_ask{witness, MakeAsk(witness, now)});
+    requests.push_back(
+        addressed_promise_request{witness, MakeRequest(witness, now)});
   }
   const bool has_majority = now < ActingUntil();
-  next_ask_ = now + (has_majority ? timing_.renew : timing_.retry);
+  next_request_at_ = now + (has_majority ? timing_.renew : timing_.retry);
 }
 
 void range_authority::OnAnswer(const member& witness,
@@ -192,15 +198,15 @@
     return;
   }
   witness_state& state = witnesses_[witness];
-  state.last_heard = now;
-  state.heard = true;
+  state.last_answer_at = now;
+  state.has_answered = true;
   if (answer.verdict == promise_verdict::kEpochTooLow) {
     // A witness that was cut off may have promised its own higher epoch to
     // itself without reaching a majority. An acting steward loses only that one
     // witness. A host without a majority must stop claiming, or its promise to
     // itself blocks the successor.
     if (now >= ActingUntil()) {
-      refused_epoch_ = std::max(refused_epoch_, answer.epoch);
+      highest_refused_epoch_ = std::max(highest_refused_epoch_, answer.epoch);
     } else {
       outranked_ = true;
     }
@@ -209,7 +215,7 @@
   if (answer.verdict != promise_verdict::kGranted) {
     return;
   }
-  state.saw_revision = std::max(state.saw_revision, answer.revision);
+  state.seen_revision = std::max(state.seen_revision, answer.revision);
   const time_point requested_at{duration{answer.asked_at_us}};
   if (requested_at > now) {
     return;  // Not a reading of this host's clock.
@@ -227,7 +233,7 @@
   return released_epoch;
 }
 
-time_point range_authority::MajorityUntil(
+time_point range_authority::MajorityPromisedUntil(
     const std::vector<member>& roster) const {
   std::vector<time_point> promise_ends;
   promise_ends.reserve(roster.size());
@@ -245,36 +251,37 @@
   if (index_ < 0 || stepped_down_) {
     return time_point{};
   }
-  const time_point until = MajorityUntil(record_.Members());
-  if (record_.previous.empty()) {
+  const time_point until = MajorityPromisedUntil(record_.Members());
+  if (record_.previous_members.empty()) {
     return until;
   }
-  return std::min(until, MajorityUntil(record_.previous));
+  return std::min(until, MajorityPromisedUntil(record_.previous_members));
 }
 
 std::set<member> range_authority::Witnesses() const {
-  std::set<member> witnesses(record_.previous.begin(), record_.previous.end());
-  for (const roster_slot& slot : record_.order) {
-    witnesses.insert(slot.who);
+  std::set<member> witnesses(record_.previous_members.begin(),
+                             record_.previous_members.end());
+  for (const roster_slot& slot : record_.roster) {
+    witnesses.insert(slot.host_run);
   }
   return witnesses;
 }
 
-std::optional<time_point> range_authority::LastHeard(
+std::optional<time_point> range_authority::LastAnswerTime(
     const member& witness) const {
   const auto found = witnesses_.find(witness);
-  if (found == witnesses_.end() || !found->second.heard) {
+  if (found == witnesses_.end() || !found->second.has_answered) {
     return std::nullopt;
   }
-  return found->second.last_heard;
+  return found->second.last_answer_at;
 }
 
 bool range_authority::AllSawRecord() const {
-  return std::all_of(record_.order.begin(), record_.order.end(),
+  return std::all_of(record_.roster.begin(), record_.roster.end(),
                      [this](const roster_slot& slot) {
-                       const auto found = witnesses_.find(slot.who);
+                       const auto found = witnesses_.find(slot.host_run);
                        return found != witnesses_.end() &&
-                              found->second.saw_revision >= record_.revision;
+                              found->second.seen_revision >= record_.revision;
                      });
 }
 
--- a/src/core/bucket_owners.cc
+++ b/src/core/bucket_owners.cc
@@ -14,23 +14,23 @@
 
 }  // namespace
 
-void bucket_owners::Begin(int bucket_count) {
+void bucket_owners::BeginTenure(int bucket_count) {
   buckets_.assign(bucket_count, bucket_state{});
   for (target_state& target : targets_) {
     target.pending.reset();
-    target.echo.reset();
-    target.replied = false;
+    target.last_reading.reset();
+    target.has_replied = false;
     target.dirty = true;
-    target.lease_until = time_point{};
+    target.lease_valid_until = time_point{};
   }
 }
 
-void bucket_owners::Inherit(int bucket, int target, time_point now) {
+void bucket_owners::InheritLease(int bucket, int target, time_point now) {
   buckets_[bucket].holder = target;
-  buckets_[bucket].wanted = target;
+  buckets_[bucket].desired_owner = target;
   target_state& state = targets_[target];
-  state.lease_bound =
-      std::max(state.lease_bound, now + MaxLeaseDuration(timing_.lease));
+  state.latest_lease_end =
+      std::max(state.latest_lease_end, now + MaxLeaseDuration(timing_.lease));
 }
 
 std::vector<int> bucket_owners::SetTargets(std::span<const std::string> names) {
@@ -53,8 +53,8 @@
   return indices;
 }
 
-void bucket_owners::Want(int bucket, int target) {
-  buckets_[bucket].wanted = target;
+void bucket_owners::SetDesiredOwner(int bucket, int target) {
+  buckets_[bucket].desired_owner = target;
 }
 
 int bucket_owners::AddKeySlot() {
@@ -77,8 +77,8 @@
     return;
   }
   for (int t = 0; t < static_cast<int>(targets_.size()); ++t) {
-    if (OrderDue(targets_[t], now)) {
-      out.orders.push_back(MakeOrder(t, now, acting_until));
+    if (GrantDue(targets_[t], now)) {
+      out.grants.push_back(MakeGrant(t, now, acting_until));
     }
   }
 }
@@ -87,14 +87,14 @@
                                const std::function<bool(int)>& is_running,
                                ownership_step& out) {
   bucket_state& state = buckets_[bucket];
-  if (state.owner >= 0 && !Leased(state.owner, now)) {
+  if (state.owner >= 0 && !HasValidLease(state.owner, now)) {
     SetOwner(bucket, -1, out);
   }
-  if (state.holder >= 0 && now >= targets_[state.holder].lease_bound) {
+  if (state.holder >= 0 && now >= targets_[state.holder].latest_lease_end) {
     state.holder = -1;
     state.revoking = false;
   }
-  if (state.holder >= 0 && state.wanted != state.holder) {
+  if (state.holder >= 0 && state.desired_owner != state.holder) {
     SetOwner(bucket, -1, out);
     // Requests that run for the bucket may finish before it is revoked: the
     // lease still covers them.
@@ -104,15 +104,16 @@
     }
     return;
   }
-  if (state.holder < 0 && state.wanted >= 0 && targets_[state.wanted].echo) {
-    state.holder = state.wanted;
+  if (state.holder < 0 && state.desired_owner >= 0 &&
+      targets_[state.desired_owner].last_reading) {
+    state.holder = state.desired_owner;
     state.revoking = false;
     targets_[state.holder].dirty = true;
     return;
   }
   const bool confirmed = state.holder >= 0 && !state.revoking &&
                          !targets_[state.holder].dirty &&
-                         Leased(state.holder, now);
+                         HasValidLease(state.holder, now);
   if (confirmed) {
     SetOwner(bucket, state.holder, out);
   }
@@ -124,15 +125,15 @@
     return;
   }
   state.owner = target;
-  ++changes_;
+  ++change_count_;
   out.changes.push_back(owner_change{bucket, target});
 }
 
-bool bucket_owners::OrderDue(const target_state& target, time_point now) const {
-  if (!target.listed && !target.dirty && target.idle) {
+bool bucket_owners::GrantDue(const target_state& target, time_point now) const {
+  if (!target.listed && !target.dirty && target.last_grant_empty) {
     return false;
   }
-  if (target.failed && now < target.last_sent + timing_.renew / 2) {
+  if (target.last_grant_failed && now < target.last_sent + timing_.renew / 2) {
     return false;
   }
   if (target.pending && now < target.pending->sent_at + timing_.answer_wait) {
@@ -141,40 +142,41 @@
   return target.dirty || now >= target.last_sent + timing_.renew;
 }
 
-grant_order bucket_owners::MakeOrder(int index, time_point now,
+lease_grant bucket_owners::MakeGrant(int index, time_point now,
                                      time_point acting_until) {
   target_state& target = targets_[index];
-  sent_order grant;
+  sent_grant grant;
   grant.seq = ++target.seq;
   grant.sent_at = now;
-  grant.echo = target.echo;
-  if (grant.echo) {
+  grant.last_reading = target.last_reading;
+  if (grant.last_reading) {
     // Without a clock reading there is no lease, and a grant without a lease
     // must not name buckets: delivered late, it would add them to a lease that
     // was granted in the meantime.
-    grant.buckets = GrantedTo(index);
+    grant.buckets = GrantedBuckets(index);
     // The target took the reading before `received_at`, so its lease ends no
     // later than `received_at + lease` on this host's clock. Limiting that to
     // the end of the steward's authority keeps the lease from outlasting it.
     const duration authority_left =
-        HolderShare(acting_until - grant.echo->received_at);
+        HolderShare(acting_until - grant.last_reading->received_at);
     grant.lease = std::clamp(authority_left, duration{0}, timing_.lease);
-    target.lease_bound =
-        std::max(target.lease_bound,
-                 grant.echo->received_at + MaxLeaseDuration(grant.lease));
+    target.latest_lease_end =
+        std::max(target.latest_lease_end, grant.last_reading->received_at +
+                                              MaxLeaseDuration(grant.lease));
   }
   target.last_sent = now;
-  target.failed = false;
-  target.idle = grant.buckets.empty();
+  target.last_grant_failed = false;
+  target.last_grant_empty = grant.buckets.empty();
   // Cleared when the target confirms this grant, unless the set of buckets
   // that it should hold has changed by then.
   target.dirty = true;
   target.pending = grant;
-  return grant_order{index, grant.seq, grant.echo ? grant.echo->clock_us : 0,
+  return lease_grant{index, grant.seq,
+                     grant.last_reading ? grant.last_reading->clock_us : 0,
                      grant.lease.count(), grant.buckets};
 }
 
-std::vector<int> bucket_owners::GrantedTo(int target) const {
+std::vector<int> bucket_owners::GrantedBuckets(int target) const {
   std::vector<int> granted;
   for (int bucket = 0; bucket < size(); ++bucket) {
     if (buckets_[bucket].holder == target && !buckets_[bucket].revoking) {
@@ -184,11 +186,11 @@
   return granted;
 }
 
-void bucket_owners::TakeReading(target_state& target, int64_t clock_us,
-                                time_point asked_at, time_point now) {
-  target.echo = reading{clock_us, asked_at, now};
+void bucket_owners::RecordClockReading(target_state& target, int64_t clock_us,
+                                       time_point asked_at, time_point now) {
+  target.last_reading = clock_reading{clock_us, asked_at, now};
   target.last_reply = now;
-  target.replied = true;
+  target.has_replied = true;
 }
 
 void bucket_owners::OnAck(int index, uint64_t seq, int64_t clock_us,
@@ -197,13 +199,14 @@
   if (!target.pending || target.pending->seq != seq) {
     return;
   }
-  const sent_order grant = std::move(*target.pending);
+  const sent_grant grant = std::move(*target.pending);
   target.pending.reset();
-  if (grant.echo) {
-    target.lease_until = std::max(
-        target.lease_until, grant.echo->asked_at + HolderShare(grant.lease));
+  if (grant.last_reading) {
+    target.lease_valid_until =
+        std::max(target.lease_valid_until,
+                 grant.last_reading->requested_at + HolderShare(grant.lease));
   }
-  TakeReading(target, clock_us, grant.sent_at, now);
+  RecordClockReading(target, clock_us, grant.sent_at, now);
   // A grant replaces the whole set, so the target has released every bucket
   // that the confirmed grant does not name.
   for (bucket_state& state : buckets_) {
@@ -216,7 +219,7 @@
       }
     }
   }
-  target.dirty = !grant.echo || grant.buckets != GrantedTo(index);
+  target.dirty = !grant.last_reading || grant.buckets != GrantedBuckets(index);
 }
 
 void bucket_owners::OnRefused(int index, uint64_t seen_seq, int64_t clock_us,
@@ -228,7 +231,7 @@
   const time_point asked_at = target.pending->sent_at;
   target.pending.reset();
   target.seq = std::max(target.seq, seen_seq);
-  TakeReading(target, clock_us, asked_at, now);
+  RecordClockReading(target, clock_us, asked_at, now);
   target.dirty = true;
 }
 
@@ -236,26 +239,27 @@
   target_state& target = targets_[index];
   if (target.pending && target.pending->seq == seq) {
     target.pending.reset();
-    target.failed = true;
+    target.last_grant_failed = true;
   }
 }
 
-bool bucket_owners::Leased(int target, time_point now) const {
-  return now < targets_[target].lease_until;
+bool bucket_owners::HasValidLease(int target, time_point now) const {
+  return now < targets_[target].lease_valid_until;
 }
 
-bool bucket_owners::Answering(int target, time_point now) const {
+bool bucket_owners::AnsweredRecently(int target, time_point now) const {
   const target_state& state = targets_[target];
-  return state.replied && now < state.last_reply + timing_.answer_wait * 2;
+  return state.has_replied && now < state.last_reply + timing_.answer_wait * 2;
 }
 
 std::optional<int64_t> bucket_owners::TargetClock(int target,
                                                   time_point now) const {
   const target_state& state = targets_[target];
-  if (!state.echo) {
+  if (!state.last_reading) {
     return std::nullopt;
   }
-  return state.echo->clock_us + (now - state.echo->received_at).count();
+  return state.last_reading->clock_us +
+         (now - state.last_reading->received_at).count();
 }
 
 }  // namespace foxtailspread
--- a/src/core/burn.cc
+++ b/src/core/burn.cc
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr double kDefaultObjectiveTarget = 0.99;
-constexpr size_t kRingSize = kBurnLongWindow / kBurnBucket;
+constexpr size_t kRingSize = kBurnLongWindow / kBurnInterval;
 
 int64_t IntervalNumber(time_point now) {
-  return now.time_since_epoch() / kBurnBucket;
+  return now.time_since_epoch() / kBurnInterval;
 }
 
 void AddCounts(const burn_counts& from, burn_counts& to) {
@@ -111,15 +111,15 @@
   auto row = rows_.find(key);
   if (row == rows_.end()) {
     if (rows_.size() >= max_rows_) {
-      ++uncounted_;
+      ++uncounted_requests_;
       return;
     }
-    row = rows_.emplace(key, ring(kRingSize)).first;
+    row = rows_.emplace(key, interval_ring(kRingSize)).first;
   }
   const int64_t number = IntervalNumber(now);
-  bucket& current_interval =
+  interval_counts& current_interval =
       row->second[static_cast<size_t>(number) % kRingSize];
-  if (current_interval.number != number) {
+  if (current_interval.interval_number != number) {
     current_interval = {number, 0, 0};
   }
   ++current_interval.total;
@@ -128,13 +128,13 @@
   }
 }
 
-burn_counts burn_ledger::CountsWithin(const ring& buckets, time_point now,
-                                      duration window) {
+burn_counts burn_ledger::CountsWithin(const interval_ring& buckets,
+                                      time_point now, duration window) {
   const int64_t newest = IntervalNumber(now);
-  const int64_t oldest = newest - window / kBurnBucket + 1;
+  const int64_t oldest = newest - window / kBurnInterval + 1;
   burn_counts counts;
-  for (const bucket& b : buckets) {
-    if (b.number >= oldest && b.number <= newest) {
+  for (const interval_counts& b : buckets) {
+    if (b.interval_number >= oldest && b.interval_number <= newest) {
       AddCounts({b.good, b.total}, counts);
     }
   }
@@ -142,7 +142,7 @@
 }
 
 burn_row burn_ledger::MakeRow(time_point now, const row_key& key,
-                              const ring& buckets) const {
+                              const interval_ring& buckets) const {
   burn_row row;
   row.organisation = key.first;
   row.service = key.second;
--- a/src/core/crash_watch.cc
+++ b/src/core/crash_watch.cc
@@ -26,11 +26,12 @@
 
 crash_watch::crash_watch() : guard_(kMaxContents, kMarkTtl) {}
 
-void crash_watch::OnBroken(uint64_t content_hash, const target_life& target,
-                           time_point now) {
+void crash_watch::OnBrokenResponse(uint64_t content_hash,
+                                   const target_life& target, time_point now) {
   const bool known = std::any_of(
       suspects_.begin(), suspects_.end(), [&](const suspect& candidate) {
-        return candidate.content == content_hash && candidate.target == target;
+        return candidate.content_hash == content_hash &&
+               candidate.target == target;
       });
   if (content_hash == 0 || known) {
     return;
@@ -39,42 +40,42 @@
     suspects_.pop_front();
   }
   suspects_.push_back(
-      {.content = content_hash, .target = target, .broke = now});
+      {.content_hash = content_hash, .target = target, .broken_at = now});
 }
 
-void crash_watch::OnAnswered(uint64_t content_hash) {
+void crash_watch::OnResponse(uint64_t content_hash) {
   guard_.Clear(content_hash);
   if (!suspects_.empty()) {
     std::erase_if(suspects_, [&](const suspect& candidate) {
-      return candidate.content == content_hash;
+      return candidate.content_hash == content_hash;
     });
   }
 }
 
-void crash_watch::OnListed(
+void crash_watch::OnTargetList(
     const std::function<bool(const target_life&)>& is_listed, time_point now) {
   std::erase_if(suspects_, [&](const suspect& candidate) {
-    if (now - candidate.broke > kCrashDetectionWindow) {
+    if (now - candidate.broken_at > kCrashDetectionWindow) {
       return true;
     }
     if (is_listed(candidate.target)) {
       return false;
     }
-    guard_.CountCrash(candidate.content, now);
+    guard_.CountCrash(candidate.content_hash, now);
     return true;
   });
 }
 
-bool crash_watch::IsCrashing(uint64_t content_hash, time_point now) const {
+bool crash_watch::IsQuarantined(uint64_t content_hash, time_point now) const {
   return guard_.IsQuarantined(content_hash, now);
 }
 
-std::vector<poison_mark> crash_watch::TakeNews(time_point now) {
-  return guard_.TakeNews(now);
+std::vector<poison_mark> crash_watch::TakeNewMarks(time_point now) {
+  return guard_.TakeNewMarks(now);
 }
 
-std::vector<poison_mark> crash_watch::Marks(size_t max_count,
-                                            time_point now) const {
+std::vector<poison_mark> crash_watch::LatestMarks(size_t max_count,
+                                                  time_point now) const {
   std::vector<poison_mark> marks = guard_.Export(now);
   if (marks.size() > max_count) {
     marks.erase(marks.begin(),
--- a/src/core/entry_host.cc
+++ b/src/core/entry_host.cc
@@ -60,32 +60,32 @@
   if (std::holds_alternative<tick_event>(event)) {
     OnTick(now, output);
   } else if (const auto* e = std::get_if<caller_request>(&event)) {
-    front_.OnCaller(*e, HasCurrentConfig(now), now, output);
+    front_.OnCallerRequest(*e, HasCurrentConfig(now), now, output);
   } else if (const auto* e = std::get_if<forwarded_request>(&event)) {
-    front_.OnForwarded(*e, now, output);
+    front_.OnForwardedRequest(*e, now, output);
   } else if (const auto* e = std::get_if<caller_gone>(&event)) {
-    front_.OnGone(*e, now, output);
+    front_.OnCallerGone(*e, now, output);
   } else if (const auto* e = std::get_if<mint_request>(&event)) {
-    front_.OnMint(*e, HasCurrentConfig(now), now, output);
+    front_.OnMintRequest(*e, HasCurrentConfig(now), now, output);
   } else if (const auto* e = std::get_if<attempt_ended>(&event)) {
-    ranges_.OnAttempt(*e, now, output);
+    ranges_.OnAttemptEnded(*e, now, output);
   } else if (const auto* e = std::get_if<forward_ended>(&event)) {
     front_.OnForwardEnded(*e, now, output);
   } else if (const auto* e = std::get_if<grant_ended>(&event)) {
-    ranges_.OnGrant(*e, now, output);
+    ranges_.OnGrantEnded(*e, now, output);
   } else if (const auto* e = std::get_if<peer_received>(&event)) {
     OnPeer(e->message, now, output);
   } else if (const auto* e = std::get_if<platform_ended>(&event)) {
     const uint64_t old_revision = sync_.cache().revision();
-    const auto changes = sync_.OnPlatform(*e, now);
-    NoteLeaving();
-    TakeNews(changes, now, out);
-    Relay(changes, old_revision, "");
+    const auto changes = sync_.OnPlatformEnded(*e, now);
+    UpdateListedLeaving();
+    ApplyChanges(changes, now, out);
+    RelayChanges(changes, old_revision, "");
   } else if (std::holds_alternative<leave_requested>(event)) {
-    OnLeave(now);
+    StartLeaving(now);
   }
-  front_.Settle(now, output);
-  Flush(out);
+  front_.HandleStewardResults(now, output);
+  SendPeerMessages(out);
 }
 
 void entry_host::OnTick(time_point now, steward_output& out) {
@@ -101,10 +101,10 @@
     Reconfigure(now);
   }
   ranges_.Tick(now, out);
-  front_.Settle(now, out);
+  front_.HandleStewardResults(now, out);
   front_.Tick(now, out);
   TickLeaving(now, out);
-  Greet(now);
+  SendHello(now);
 }
 
 void entry_host::RegisterSelf(time_point now, action_list& out) {
@@ -125,14 +125,14 @@
   sync_.Write(key, FormatHostEntry(own_entry), now, out);
 }
 
-void entry_host::Greet(time_point now) {
-  const bool hello_due = now >= next_hello_;
-  const bool beacon_changed = sync_.TakeBeaconNews();
+void entry_host::SendHello(time_point now) {
+  const bool hello_due = now >= next_hello_time_;
+  const bool beacon_changed = sync_.TakeBeaconChanged();
   if (!hello_due && !beacon_changed) {
     return;
   }
   if (hello_due) {
-    next_hello_ = now + timing_.hello;
+    next_hello_time_ = now + timing_.hello;
   }
   // Request content that crashed a target here may next be sent to any other
   // range.
@@ -150,18 +150,18 @@
 void entry_host::OnPeer(const peer_message& message, time_point now,
                         steward_output& out) {
   const std::string& sender = message.from.host;
-  directory_.Heard(message.from, now);
+  directory_.RecordMessage(message.from, now);
   if (message.leaving) {
-    directory_.NoteLeaving(sender);
+    directory_.MarkLeaving(sender);
   }
   const uint64_t old_revision = sync_.cache().revision();
   if (message.changes) {
     const auto changes = sync_.OnRelayed(*message.changes);
-    if (!first_peer_batch_) {
-      first_peer_batch_ = now;
+    if (!first_peer_batch_time_) {
+      first_peer_batch_time_ = now;
     }
-    TakeNews(changes, now, out.actions);
-    Relay(changes, old_revision, sender);
+    ApplyChanges(changes, now, out.actions);
+    RelayChanges(changes, old_revision, sender);
   }
   const uint64_t own_revision = sync_.cache().revision();
   if (message.wants_changes && own_revision > message.revision) {
@@ -176,32 +176,32 @@
   for (const watch_beacon& beacon : message.beacons) {
     sync_.OnBeacon(beacon, now);
   }
-  NoteLeaving();
+  UpdateListedLeaving();
   for (const range_map_notice& notice : message.maps) {
-    ranges_.OnMap(notice);
+    ranges_.OnMapNotice(notice);
   }
   for (const range_release& release : message.releases) {
     ranges_.OnRelease(message.from, release);
   }
-  for (const promise_ask& ask : message.asks) {
-    ranges_.OnAsk(message.from, ask, now);
+  for (const promise_request& ask : message.asks) {
+    ranges_.OnPromiseAsk(message.from, ask, now);
   }
   for (const promise_answer& answer : message.answers) {
-    ranges_.OnAnswer(message.from, answer, now);
+    ranges_.OnPromiseAnswer(message.from, answer, now);
   }
   ranges_.ImportPoison(message.poison, now);
 }
 
-void entry_host::TakeNews(const std::vector<object_change>& news,
-                          time_point now, action_list& out) {
+void entry_host::ApplyChanges(const std::vector<object_change>& news,
+                              time_point now, action_list& out) {
   for (const object_change& change : news) {
     if (change.key == kConfigKey) {
-      TakeConfig(change, now, out);
+      ApplyConfig(change, now, out);
     } else if (change.key.starts_with(kRangeKeyPrefix)) {
       const std::string_view range = RemovePrefix(change.key, kRangeKeyPrefix);
-      const uint64_t old_epoch = ranges_.FirstEpoch(range);
+      const uint64_t old_epoch = ranges_.FirstRosterEpoch(range);
       const status applied = ranges_.OnRecord(change, now);
-      if (ranges_.FirstEpoch(range) != old_epoch) {
+      if (ranges_.FirstRosterEpoch(range) != old_epoch) {
         front_.OnRosterChange(range);
       }
       if (!applied) {
@@ -227,14 +227,14 @@
       targets_changed_ = true;
       if (RemovePrefix(change.key, kDrainKeyPrefix) == self_.name &&
           !change.deleted) {
-        OnLeave(now);
+        StartLeaving(now);
       }
     }
   }
 }
 
-void entry_host::TakeConfig(const object_change& change, time_point now,
-                            action_list& out) {
+void entry_host::ApplyConfig(const object_change& change, time_point now,
+                             action_list& out) {
   if (change.deleted) {
     // A removed configuration is ignored: the last valid one stays in force.
     out.push_back(log_action{
@@ -270,11 +270,11 @@
   if (!config_) {
     return;
   }
-  ranges_.Configure(*config_, Notices(), now);
+  ranges_.Configure(*config_, MakeTargetNotices(), now);
   front_.Configure(&*config_);
 }
 
-void entry_host::NoteLeaving() {
+void entry_host::UpdateListedLeaving() {
   if (!sync_.beacon()) {
     return;
   }
@@ -286,9 +286,9 @@
   }
 }
 
-target_notices entry_host::Notices() const {
-  target_notices notices;
-  notices.draining = [this](std::string_view target) {
+target_status_source entry_host::MakeTargetNotices() const {
+  target_status_source notices;
+  notices.is_draining = [this](std::string_view target) {
     const std::string name(target);
     return listed_leaving_.contains(name) ||
            sync_.cache().Find(std::string(kDrainKeyPrefix) + name) != nullptr;
@@ -296,8 +296,8 @@
   return notices;
 }
 
-void entry_host::Relay(const std::vector<object_change>& news, uint64_t since,
-                       std::string_view except) {
+void entry_host::RelayChanges(const std::vector<object_change>& news,
+                              uint64_t since, std::string_view except) {
   if (news.empty()) {
     return;
   }
@@ -316,11 +316,11 @@
   }
 }
 
-void entry_host::OnLeave(time_point now) {
+void entry_host::StartLeaving(time_point now) {
   if (!leaving_) {
     leaving_ = true;
     leaving_since_ = now;
-    next_hello_ = now;
+    next_hello_time_ = now;
   }
 }
 
@@ -335,8 +335,8 @@
   }
   const bool drain_timed_out = now >= leaving_since_ + timing_.drain_limit;
   ranges_.HandOver(now, drain_timed_out, out);
-  front_.Settle(now, out);
-  if (drain_timed_out || (ranges_.Released() && front_.size() == 0)) {
+  front_.HandleStewardResults(now, out);
+  if (drain_timed_out || (ranges_.AllHandedOver() && front_.size() == 0)) {
     stopped_ = true;
     out.actions.push_back(
         log_action{event_id::kHostStopped, {{"host", self_.name}}});
@@ -344,7 +344,7 @@
   }
 }
 
-void entry_host::Flush(action_list& out) {
+void entry_host::SendPeerMessages(action_list& out) {
   for (auto& [host, message] : outbox_) {
     const host_entry* entry = directory_.Find(host);
     if (entry == nullptr || entry->peer.empty()) {
@@ -363,8 +363,8 @@
   }
   // Without the platform, the peers' configuration is used once there was time
   // to hear the peer with the newest revision.
-  return sync_.synced() ||
-         (first_peer_batch_ && now >= *first_peer_batch_ + kPeerSettleTime);
+  return sync_.synced() || (first_peer_batch_time_ &&
+                            now >= *first_peer_batch_time_ + kPeerSettleTime);
 }
 
 bool entry_host::Ready(time_point now) const {
--- a/src/core/evacuations.cc
+++ b/src/core/evacuations.cc
@@ -4,7 +4,7 @@
 
 namespace foxtailspread {
 
-bool evacuations::Take(std::set<std::string> zones, time_point as_of) {
+bool evacuations::Update(std::set<std::string> zones, time_point as_of) {
   if (as_of < as_of_) {
     return false;
   }
--- a/src/core/fair_queue.cc
+++ b/src/core/fair_queue.cc
@@ -5,48 +5,48 @@
 namespace foxtailspread {
 
 void fair_queue::SetShare(int32_t organisation, double share) {
-  flow& changed = FlowOf(organisation);
+  flow& changed = FindOrCreateFlow(organisation);
   if (changed.size > 0) {
-    waiting_share_ += share - changed.share;
+    waiting_share_sum_ += share - changed.share;
   }
   changed.share = share;
 }
 
 void fair_queue::PushBack(live_request& waiting) {
-  Admit(waiting).waiting.push_back(waiting);
+  AddToFlow(waiting).waiting.push_back(waiting);
 }
 
 void fair_queue::PushFront(live_request& waiting) {
-  Admit(waiting).waiting.push_front(waiting);
+  AddToFlow(waiting).waiting.push_front(waiting);
 }
 
 void fair_queue::Erase(live_request& waiting) {
   flow& f = *flows_[static_cast<size_t>(waiting.request.organisation)];
-  Forget(f.classes[Index(waiting.request.level)], waiting);
+  RemoveFromFlow(f.classes[Index(waiting.request.level)], waiting);
 }
 
 live_request* fair_queue::Pop(bool archive_allowed, double cost) {
-  class_flow* class_entry = Choose(archive_allowed, cost);
+  class_flow* class_entry = SelectNext(archive_allowed, cost);
   if (class_entry == nullptr) {
     return nullptr;
   }
   live_request& first = class_entry->waiting.front();
   if (first.request.level == urgency::kArchive) {
-    since_archive_ = 0;
+    starts_since_archive_ = 0;
   } else if (Size(urgency::kArchive) > 0) {
-    since_archive_++;
+    starts_since_archive_++;
   }
-  Charge(*class_entry->owner, cost);
-  Forget(*class_entry, first);
+  Charge(*class_entry->parent, cost);
+  RemoveFromFlow(*class_entry, first);
   return &first;
 }
 
-void fair_queue::Correct(int32_t organisation, double difference) {
-  flow& f = FlowOf(organisation);
-  Reorder(f, f.virtual_time + difference / f.share);
+void fair_queue::AdjustCharge(int32_t organisation, double difference) {
+  flow& f = FindOrCreateFlow(organisation);
+  SetVirtualTime(f, f.virtual_time + difference / f.share);
 }
 
-int fair_queue::SizeAhead(int32_t organisation, urgency level) const {
+int fair_queue::CountAhead(int32_t organisation, urgency level) const {
   const flow* f = FindFlow(organisation);
   if (f == nullptr) {
     return 0;
@@ -58,14 +58,15 @@
   return static_cast<int>(count);
 }
 
-double fair_queue::ShareNow(int32_t organisation) const {
+double fair_queue::ShareAmongWaiting(int32_t organisation) const {
   const flow* f = FindFlow(organisation);
   const double own_share = f == nullptr ? 1 : f->share;
   const bool is_waiting = f != nullptr && f->size > 0;
-  return own_share / (is_waiting ? waiting_share_ : waiting_share_ + own_share);
+  return own_share /
+         (is_waiting ? waiting_share_sum_ : waiting_share_sum_ + own_share);
 }
 
-fair_queue::flow& fair_queue::FlowOf(int32_t organisation) {
+fair_queue::flow& fair_queue::FindOrCreateFlow(int32_t organisation) {
   const auto index = static_cast<size_t>(organisation);
   if (index >= flows_.size()) {
     flows_.resize(index + 1);
@@ -74,7 +75,7 @@
     flows_[index] = std::make_unique<flow>();
     flows_[index]->organisation = organisation;
     for (class_flow& class_entry : flows_[index]->classes) {
-      class_entry.owner = flows_[index].get();
+      class_entry.parent = flows_[index].get();
     }
   }
   return *flows_[index];
@@ -85,15 +86,15 @@
   return index < flows_.size() ? flows_[index].get() : nullptr;
 }
 
-fair_queue::class_flow& fair_queue::Admit(live_request& waiting) {
-  flow& f = FlowOf(waiting.request.organisation);
+fair_queue::class_flow& fair_queue::AddToFlow(live_request& waiting) {
+  flow& f = FindOrCreateFlow(waiting.request.organisation);
   const size_t level = Index(waiting.request.level);
   if (f.size == 0) {
     // One start behind the queue's virtual time, so that this organisation
     // reliably gets the next free slot instead of tying with the others.
     f.virtual_time =
-        std::max(f.virtual_time, virtual_time_ - last_cost_ / f.share);
-    waiting_share_ += f.share;
+        std::max(f.virtual_time, virtual_time_ - last_cost_us_ / f.share);
+    waiting_share_sum_ += f.share;
   }
   class_flow& class_entry = f.classes[level];
   if (class_entry.waiting.empty()) {
@@ -108,10 +109,11 @@
   return class_entry;
 }
 
-fair_queue::class_flow* fair_queue::Choose(bool archive_allowed, double cost) {
+fair_queue::class_flow* fair_queue::SelectNext(bool archive_allowed,
+                                               double cost) {
   flow_order& archive = by_class_[Index(urgency::kArchive)].order;
   const bool archive_waits = archive_allowed && !archive.empty();
-  if (archive_waits && since_archive_ >= kArchiveEvery) {
+  if (archive_waits && starts_since_archive_ >= kMaxStartsBeforeArchive) {
     return &*archive.begin();
   }
   class_flow* over_share = nullptr;
@@ -122,8 +124,8 @@
       continue;
     }
     class_flow& first = *order.begin();
-    const double max_ahead = kMostAhead * cost / first.owner->share;
-    if (first.owner->virtual_time <= virtual_time_ + max_ahead) {
+    const double max_ahead = kMaxStartsAhead * cost / first.parent->share;
+    if (first.parent->virtual_time <= virtual_time_ + max_ahead) {
       return &first;
     }
     over_share = over_share == nullptr ? &first : over_share;
@@ -132,16 +134,16 @@
 }
 
 void fair_queue::Charge(flow& charged, double cost) {
-  last_cost_ = cost;
-  const double active_shares = std::max(waiting_share_, charged.share);
+  last_cost_us_ = cost;
+  const double active_shares = std::max(waiting_share_sum_, charged.share);
   virtual_time_ += cost / active_shares;
   // The limit on archive requests can leave an organisation far behind. With
   // all of that credit, its next burst of urgent requests would block all
   // other organisations, so the credit is limited.
-  const double max_behind = kMostBehind * cost / charged.share;
+  const double max_behind = kMaxStartsBehind * cost / charged.share;
   const double start_time =
       std::max(charged.virtual_time, virtual_time_ - max_behind);
-  Reorder(charged, start_time + cost / charged.share);
+  SetVirtualTime(charged, start_time + cost / charged.share);
   // If every waiting organisation is ahead of the queue's virtual time, move
   // it forward to the earliest one. Otherwise all would count as over their
   // share, and urgency alone would decide the order.
@@ -149,13 +151,13 @@
   for (const class_state& state : by_class_) {
     if (!state.order.empty()) {
       min_virtual_time =
-          std::min(min_virtual_time, state.order.begin()->owner->virtual_time);
+          std::min(min_virtual_time, state.order.begin()->parent->virtual_time);
     }
   }
   virtual_time_ = std::max(virtual_time_, min_virtual_time);
 }
 
-void fair_queue::Reorder(flow& moved, double virtual_time) {
+void fair_queue::SetVirtualTime(flow& moved, double virtual_time) {
   for (size_t c = 0; c < by_class_.size(); ++c) {
     class_flow& class_entry = moved.classes[c];
     if (class_entry.order_hook.is_linked()) {
@@ -171,9 +173,9 @@
   }
 }
 
-void fair_queue::Forget(class_flow& kind, live_request& waiting) {
+void fair_queue::RemoveFromFlow(class_flow& kind, live_request& waiting) {
   const size_t level = Index(waiting.request.level);
-  flow& f = *kind.owner;
+  flow& f = *kind.parent;
   kind.waiting.erase(kind.waiting.iterator_to(waiting));
   if (kind.waiting.empty()) {
     flow_order& order = by_class_[level].order;
@@ -183,7 +185,7 @@
   by_class_[level].size--;
   size_--;
   if (f.size == 0) {
-    waiting_share_ -= f.share;
+    waiting_share_sum_ -= f.share;
   }
 }
 
--- a/src/core/graceful_stop.cc
+++ b/src/core/graceful_stop.cc
@@ -30,14 +30,14 @@
 }  // namespace
 
 stop_phase graceful_stop::Phase(time_point now, bool work_left) const {
-  if (!began_) {
+  if (!started_at_) {
     return stop_phase::kRunning;
   }
-  const duration elapsed = now - *began_;
-  const duration exit_after =
-      std::max(grace_ - kExitReserve, grace_ / kShortGraceDivisor);
+  const duration elapsed = now - *started_at_;
+  const duration exit_after = std::max(grace_period_ - kExitReserve,
+                                       grace_period_ / kShortGraceDivisor);
   const duration refuse_after =
-      std::min(kRefuseDelay, grace_ / kShortGraceDivisor);
+      std::min(kRefuseDelay, grace_period_ / kShortGraceDivisor);
   if (elapsed >= exit_after ||
       (!work_left && elapsed >= std::min(kMinStopTime, exit_after))) {
     return stop_phase::kDone;
--- a/src/core/host_messages.cc
+++ b/src/core/host_messages.cc
@@ -79,9 +79,9 @@
 json ToJson(const assigner_heartbeat& heartbeat) {
   json view;
   if (heartbeat.view) {
-    view =
-        json::array({heartbeat.view->config_revision, heartbeat.view->targets,
-                     heartbeat.view->owners, heartbeat.view->age_ms});
+    view = json::array({heartbeat.view->config_revision,
+                        heartbeat.view->targets_digest,
+                        heartbeat.view->owners_digest, heartbeat.view->age_ms});
   }
   json evacuated;
   if (heartbeat.evacuated) {
@@ -90,13 +90,14 @@
   }
   return json::array({kHeartbeatTag, heartbeat.host, heartbeat.lease_revision,
                       heartbeat.successors, std::move(view),
-                      ToJson(heartbeat.crashes), heartbeat.hosts,
+                      ToJson(heartbeat.crashes), heartbeat.host_count,
                       std::move(evacuated)});
 }
 
 json ToJson(const owners_record& record) {
   // MessagePack takes half the bytes of the JSON text.
-  return json::array({kOwnersTag, record.service, record.base, record.revision,
+  return json::array({kOwnersTag, record.service, record.base_revision,
+                      record.revision,
                       json::parse(record.content, nullptr, false)});
 }
 
@@ -109,12 +110,12 @@
       fields.insert(fields.end(),
                     {entry.life.id, entry.life.started, entry.service,
                      entry.address, entry.zone, entry.slots, entry.draining,
-                     entry.warm_up.count() / 1000, entry.sequence});
+                     entry.remaining_cold_time.count() / 1000, entry.sequence});
     }
     changes.push_back(std::move(fields));
   }
   return json::array(
-      {kTargetsTag, record.before, record.age_ms, std::move(changes)});
+      {kTargetsTag, record.base_digest, record.age_ms, std::move(changes)});
 }
 
 json ToJson(const shared_object& object) {
@@ -199,12 +200,12 @@
   const json& view = value.at(4);
   if (!view.is_null()) {
     heartbeat.view = store_view{.config_revision = view.at(0).get<uint64_t>(),
-                                .targets = view.at(1).get<uint64_t>(),
-                                .owners = view.at(2).get<uint64_t>(),
+                                .targets_digest = view.at(1).get<uint64_t>(),
+                                .owners_digest = view.at(2).get<uint64_t>(),
                                 .age_ms = view.at(3).get<uint32_t>()};
   }
   heartbeat.crashes = ReadMarks(value.at(5));
-  heartbeat.hosts = value.at(6).get<size_t>();
+  heartbeat.host_count = value.at(6).get<size_t>();
   const json& evacuated = value.at(7);
   if (!evacuated.is_null()) {
     heartbeat.evacuated =
@@ -216,7 +217,7 @@
 
 owners_record ReadOwners(const json& value) {
   return {.service = value.at(1).get<std::string>(),
-          .base = value.at(2).get<uint64_t>(),
+          .base_revision = value.at(2).get<uint64_t>(),
           .revision = value.at(3).get<uint64_t>(),
           .content = value.at(4).dump()};
 }
@@ -227,22 +228,23 @@
                       .revision = value.at(1).get<uint64_t>(),
                       .deleted = value.at(2).get<bool>()};
   if (value.size() > kFieldsWithoutEntry) {
-    shared.entry = target_entry{
-        .life = {.id = value.at(3).get<std::string>(),
-                 .started = value.at(4).get<uint64_t>()},
-        .service = value.at(5).get<std::string>(),
-        .address = value.at(6).get<std::string>(),
-        .zone = value.at(7).get<std::string>(),
-        .slots = value.at(8).get<int>(),
-        .draining = value.at(9).get<bool>(),
-        .warm_up = std::chrono::milliseconds{value.at(10).get<int64_t>()},
-        .sequence = value.at(11).get<uint64_t>()};
+    shared.entry =
+        target_entry{.life = {.id = value.at(3).get<std::string>(),
+                              .started = value.at(4).get<uint64_t>()},
+                     .service = value.at(5).get<std::string>(),
+                     .address = value.at(6).get<std::string>(),
+                     .zone = value.at(7).get<std::string>(),
+                     .slots = value.at(8).get<int>(),
+                     .draining = value.at(9).get<bool>(),
+                     .remaining_cold_time =
+                         std::chrono::milliseconds{value.at(10).get<int64_t>()},
+                     .sequence = value.at(11).get<uint64_t>()};
   }
   return shared;
 }
 
 targets_record ReadTargets(const json& value) {
-  targets_record record{.before = value.at(1).get<uint64_t>(),
+  targets_record record{.base_digest = value.at(1).get<uint64_t>(),
                         .age_ms = value.at(2).get<uint32_t>(),
                         .changes = {}};
   for (const json& change : value.at(3)) {
@@ -253,8 +255,8 @@
 
 shared_object ReadSharedObject(const json& value) {
   const bool own =
-      value.at(1).get<int>() == static_cast<int>(shared_kind::kOwn);
-  return {.kind = own ? shared_kind::kOwn : shared_kind::kDeclarations,
+      value.at(1).get<int>() == static_cast<int>(shared_kind::kSystem);
+  return {.kind = own ? shared_kind::kSystem : shared_kind::kDeclarations,
           .name = value.at(2).get<std::string>(),
           .revision = value.at(3).get<uint64_t>(),
           .content = value.at(4).dump()};
@@ -326,8 +328,8 @@
   return MalformedMessage();
 }
 
-std::optional<time_point> VouchedUntil(const store_view& view, duration drain,
-                                       time_point now) {
+std::optional<time_point> ViewValidUntil(const store_view& view, duration drain,
+                                         time_point now) {
   const time_point read_at = now - std::chrono::milliseconds{view.age_ms};
   const time_point until = read_at + Part(drain, kViewValidFraction);
   return until > now ? std::optional{until} : std::nullopt;
--- a/src/core/hot_keys.cc
+++ b/src/core/hot_keys.cc
@@ -14,7 +14,7 @@
   total_ += weight;
   const auto found = by_key_.find(key_hash);
   counter& key_counter =
-      found != by_key_.end() ? *found : Replace(key_hash, bucket);
+      found != by_key_.end() ? *found : AssignCounter(key_hash, bucket);
   if (key_counter.order_hook.is_linked()) {
     by_count_.erase(by_count_.iterator_to(key_counter));
   }
@@ -44,11 +44,11 @@
   return top;
 }
 
-hot_key_sketch::counter& hot_key_sketch::Replace(uint64_t key_hash,
-                                                 int32_t bucket) {
+hot_key_sketch::counter& hot_key_sketch::AssignCounter(uint64_t key_hash,
+                                                       int32_t bucket) {
   counter* assigned = nullptr;
-  if (used_ < counters_.size()) {
-    assigned = &counters_[used_++];
+  if (used_counters_ < counters_.size()) {
+    assigned = &counters_[used_counters_++];
   } else {
     // The new key takes over the lowest count: it may have been counted there
     // earlier, so no frequent key is ever missed.
--- a/src/core/key_assigner.cc
+++ b/src/core/key_assigner.cc
@@ -47,7 +47,7 @@
   return life.id + kLifeSeparator + std::to_string(life.started);
 }
 
-key_assigner::target_state* key_assigner::StateOf(const target_life& life) {
+key_assigner::target_state* key_assigner::FindTarget(const target_life& life) {
   const auto found = targets_.find(LifeKey(life));
   return found == targets_.end() ? nullptr : &found->second;
 }
@@ -69,7 +69,7 @@
     return OkStatus();
   }
   keyed_service& service = found->second;
-  if (record.base != 0 && record.base != service.revision) {
+  if (record.base_revision != 0 && record.base_revision != service.revision) {
     // Records are missing in between. The digest in the next heartbeat will
     // differ from this host's, which then reads the record from the store.
     return OkStatus();
@@ -78,7 +78,7 @@
   if (!changes) {
     return changes.error();
   }
-  auto map = WithKeyChanges(service.map, changes.value());
+  auto map = ApplyKeyChanges(service.map, changes.value());
   if (!map) {
     return map.error();
   }
@@ -93,13 +93,14 @@
     // The watch may deliver this host's own write before the answer to it
     // arrives. If a heartbeat announced the new record before the changes are
     // sent, all other hosts would read the whole record from the store.
-    digest += HashParts(
-        {name}, service.write ? service.write->expected : service.revision);
+    digest += HashParts({name}, service.record_write
+                                    ? service.record_write->expected_revision
+                                    : service.revision);
   }
   return digest;
 }
 
-status key_assigner::OnObjects(const own_objects& objects, time_point now) {
+status key_assigner::OnObjects(const system_objects& objects, time_point now) {
   status parse_status = OkStatus();
   objects_read_ = true;
   const auto lease = objects.find(std::string{kLeaseName});
@@ -115,18 +116,17 @@
     }
     assigner_lease new_lease = parsed ? parsed.value() : assigner_lease{};
     if (!lease_ || lease_->host != new_lease.host) {
-      lease_taken_at_ = now;
+      holder_changed_at_ = now;
     }
     lease_ = std::move(new_lease);
     if (lease_->host != settings_.host) {
       held_until_ = {};  // UpdateLease handles the loss.
-      keeping_until_ = {};
+      renewing_until_ = {};
     }
   }
-  if (was_holder_ && lease_revision_ >= acting_from_revision_ &&
-      lease != objects.end() &&
-      lease->second.revision >= acting_from_revision_) {
-    synced_since_taken_ = true;
+  if (was_holder_ && lease_revision_ >= acquired_revision_ &&
+      lease != objects.end() && lease->second.revision >= acquired_revision_) {
+    synced_since_acquired_ = true;
   }
   for (auto& [name, service] : services_) {
     const auto found = objects.find(MapName(name));
@@ -144,8 +144,8 @@
   return parse_status;
 }
 
-void key_assigner::OnStoreAnswers(bool answers, time_point now) {
-  if (answers && !store_answers_) {
+void key_assigner::OnStoreAvailability(bool answers, time_point now) {
+  if (answers && !store_available_) {
     // The lease may have been renewed while this host could not reach the
     // store.
     lease_seen_at_ = std::max(lease_seen_at_, now);
@@ -154,14 +154,14 @@
     // Otherwise a holder in a zone that was cut off takes all targets outside
     // the zone for lost and moves their keys to the few inside it (three, in
     // the case that was seen).
-    ForgetFailedOrders();
+    ResetFailureCounts();
   }
-  store_answers_ = answers;
+  store_available_ = answers;
 }
 
-void key_assigner::ForgetFailedOrders() {
+void key_assigner::ResetFailureCounts() {
   for (auto& [life, state] : targets_) {
-    state.failed_orders = 0;
+    state.consecutive_failures = 0;
   }
 }
 
@@ -185,7 +185,7 @@
 
 void key_assigner::OnTargets(const std::vector<target_entry>& targets,
                              bool doubtful, time_point now) {
-  doubtful_ = doubtful;
+  targets_may_be_incomplete_ = doubtful;
   for (auto& [life, state] : targets_) {
     state.listed = false;
   }
@@ -270,11 +270,11 @@
 }
 
 bool key_assigner::IsFailing(const target_state& state, time_point now) const {
-  if (state.failed_orders < kFailedOrderThreshold) {
+  if (state.consecutive_failures < kFailedOrderThreshold) {
     return false;
   }
   return now - state.failing_since < kFailedTargetRetryDelay ||
-         state.entry.sequence == state.failed_sequence;
+         state.entry.sequence == state.sequence_at_failure;
 }
 
 bool key_assigner::IsUsable(const target_life& life, time_point now) const {
@@ -282,7 +282,8 @@
   if (found == targets_.end()) {
     // This host has never seen the target, which may be listed shortly after
     // the lease was taken.
-    return doubtful_ && now - taken_at_ < kMissingTargetGracePeriod;
+    return targets_may_be_incomplete_ &&
+           now - acquired_at_ < kMissingTargetGracePeriod;
   }
   const target_state& state = found->second;
   if (state.entry.draining || state.availability.IsEvacuated() ||
@@ -290,27 +291,29 @@
     return false;
   }
   return state.listed ||
-         (doubtful_ && now - *state.missing_since < kMissingTargetGracePeriod);
+         (targets_may_be_incomplete_ &&
+          now - *state.missing_since < kMissingTargetGracePeriod);
 }
 
 void key_assigner::OnTime(time_point now, assigner_actions& out) {
-  StepLease(now, out);
+  UpdateLease(now, out);
   // This includes orders that were sent under a lease that was lost since. The
   // expiry of a target's grants is known only when all of its orders have an
   // outcome, and an order that never gets one would block its keys forever.
-  EndLateOrders(now, out);
-  const bool may_assign = was_holder_ && IsHolder(now) && synced_since_taken_;
-  if (!may_assign && now >= keeping_until_) {
+  CancelOverdueOrders(now, out);
+  const bool may_assign =
+      was_holder_ && IsHolder(now) && synced_since_acquired_;
+  if (!may_assign && now >= renewing_until_) {
     return;
   }
   for (auto& [name, service] : services_) {
     if (may_assign) {
-      StepService(service, now, out);
+      UpdateService(service, now, out);
       continue;
     }
     for (const key_range& range : service.map.ranges) {
       if (range.granted) {
-        Renew(service, range, now, out);
+        RenewGrant(service, range, now, out);
       }
     }
   }
@@ -325,7 +328,7 @@
   const bool transferring =
       was_holder_ &&
       std::any_of(services_.begin(), services_.end(), [](const auto& entry) {
-        return !entry.second.transfers.empty() || entry.second.write;
+        return !entry.second.transfers.empty() || entry.second.record_write;
       });
   if (transferring) {
     return now + kTransferUpdatePeriod;
@@ -333,20 +336,20 @@
   return now + (was_holder_ ? kHolderUpdatePeriod : kStandbyUpdatePeriod);
 }
 
-void key_assigner::StepService(keyed_service& service, time_point now,
-                               assigner_actions& out) {
+void key_assigner::UpdateService(keyed_service& service, time_point now,
+                                 assigner_actions& out) {
   if (!IsHolder(now)) {
     return;
   }
-  service.load.Average(now);
-  RetryWrite(service.write, now, out);
+  service.load.UpdateAverages(now);
+  RetryWrite(service.record_write, now, out);
   std::set<range_id> current_ranges;
   for (const key_range& range : service.map.ranges) {
     current_ranges.insert(IdOf(range));
     if (range.granted) {
-      Renew(service, range, now, out);
+      RenewGrant(service, range, now, out);
     } else if (!IsBeingReplaced(service, range)) {
-      StepRange(service, range, now, out);
+      UpdateTransfer(service, range, now, out);
     }
   }
   std::erase_if(service.transfers, [&](const auto& entry) {
@@ -355,56 +358,57 @@
   std::erase_if(service.renewals, [&](const auto& entry) {
     return !current_ranges.contains(entry.first);
   });
-  if (service.write) {
+  if (service.record_write) {
     return;
   }
   key_map draft = service.map;
   if (PlanChanges(service, draft, now, out)) {
-    JoinEqualNeighbours(draft);
-    service.draft = draft;
-    service.changes = KeyChanges(service.map, draft);
-    service.write = pending_write{.name = MapName(service.name),
-                                  .content = FormatKeyMap(draft),
-                                  .expected = service.revision,
-                                  .first_sent = now};
-    Send(*service.write, now, out);
+    MergeEqualNeighbours(draft);
+    service.pending_map = draft;
+    service.pending_changes = DiffKeyMaps(service.map, draft);
+    service.record_write = pending_write{.name = MapName(service.name),
+                                         .content = FormatKeyMap(draft),
+                                         .expected_revision = service.revision,
+                                         .first_sent_at = now};
+    SendWrite(*service.record_write, now, out);
   }
 }
 
 void key_assigner::OnMapWritten(keyed_service& service,
                                 const write_report& report, time_point now,
                                 assigner_actions& out) {
-  service.write->in_flight = false;
-  const bool written = report.end == write_end::kWritten ||
-                       (report.end == write_end::kConflict &&
-                        report.content == service.write->content);
+  service.record_write->in_flight = false;
+  const bool written =
+      report.outcome == conditional_write_outcome::kWritten ||
+      (report.outcome == conditional_write_outcome::kConflict &&
+       report.content == service.record_write->content);
   if (written && report.revision < service.revision) {
     // This host has already read a later record, which another holder wrote on
     // top of this one.
-    service.write.reset();
+    service.record_write.reset();
     service.transfers.clear();
   } else if (written) {
-    service.map = std::move(service.draft);
+    service.map = std::move(service.pending_map);
     service.revision = report.revision;
-    out.emplace_back(
-        share_action{.record = {.service = service.name,
-                                .base = service.write->expected,
-                                .revision = service.revision,
-                                .content = FormatKeyMap(service.changes)},
-                     .hops = OtherHosts(now)});
-    service.write.reset();
+    out.emplace_back(share_owners_action{
+        .record = {.service = service.name,
+                   .base_revision = service.record_write->expected_revision,
+                   .revision = service.revision,
+                   .content = FormatKeyMap(service.pending_changes)},
+        .hops = OtherHosts(now)});
+    service.record_write.reset();
     for (const key_range& range : service.map.ranges) {
       const bool added = !service.transfers.contains(IdOf(range));
       if (!range.granted && added) {
         service.transfers[IdOf(range)].inherited = false;
       }
     }
-    StepService(service, now, out);
-  } else if (report.end == write_end::kConflict) {
+    UpdateService(service, now, out);
+  } else if (report.outcome == conditional_write_outcome::kConflict) {
     // Another holder has written the record, so that this host has lost the
     // lease, even if it has not noticed yet. A record that cannot be parsed is
     // ignored here: the watch also delivers it, and OnObjects reports it.
-    service.write.reset();
+    service.record_write.reset();
     auto map = ParseKeyMap(report.content);
     if (report.revision > service.revision && map) {
       service.map = std::move(map.value());
@@ -421,7 +425,7 @@
     return;
   }
   for (auto& [name, service] : services_) {
-    if (service.write && service.write->id == report.id) {
+    if (service.record_write && service.record_write->id == report.id) {
       OnMapWritten(service, report, now, out);
       return;
     }
--- a/src/core/key_assigner_moves.cc
+++ b/src/core/key_assigner_moves.cc
@@ -39,11 +39,11 @@
 bool key_assigner::PlanChanges(keyed_service& service, key_map& draft,
                                time_point now, assigner_actions& out) {
   if (draft.ranges.empty()) {
-    const auto candidates = Candidates(service.name, now);
-    if (candidates.empty() || now < taken_at_ + kFirstMapDelay) {
+    const auto candidates = BalanceCandidates(service.name, now);
+    if (candidates.empty() || now < acquired_at_ + kFirstMapDelay) {
       return false;
     }
-    draft = DealKeys(candidates, draft.last_fence + 1);
+    draft = MakeInitialKeyMap(candidates, draft.last_fence + 1);
     return true;
   }
   const bool confirmed = ConfirmGrants(service, draft, out);
@@ -51,14 +51,14 @@
   if (confirmed || replaced) {
     return true;
   }
-  return Balance(service, draft, now, out);
+  return BalanceLoad(service, draft, now, out);
 }
 
-assigner_note key_assigner::NoteOf(assigner_note::kind note_kind,
-                                   const keyed_service& service,
-                                   const key_range& range,
-                                   const std::string& target) {
-  return {.what = note_kind,
+assigner_note key_assigner::MakeNote(assigner_note::kind note_kind,
+                                     const keyed_service& service,
+                                     const key_range& range,
+                                     const std::string& target) {
+  return {.note_kind = note_kind,
           .service = service.name,
           .target = target,
           .first = range.first,
@@ -72,14 +72,14 @@
   for (key_range& range : draft.ranges) {
     const auto found = service.transfers.find(IdOf(range));
     if (range.granted || found == service.transfers.end() ||
-        !found->second.confirmed) {
+        !found->second.grant_confirmed) {
       continue;
     }
     range.granted = true;
-    range.former.reset();
+    range.former_owner.reset();
     changed = true;
-    out.emplace_back(NoteOf(assigner_note::kind::kKeysGranted, service, range,
-                            range.owner.id));
+    out.emplace_back(MakeNote(assigner_note::kind::kKeysGranted, service, range,
+                              range.owner.id));
   }
   return changed;
 }
@@ -88,8 +88,8 @@
                             key_range& range, const target_life& new_owner) {
   const auto found = service.transfers.find(IdOf(range));
   const bool offered = range.granted || found == service.transfers.end() ||
-                       found->second.offered || found->second.inherited;
-  range.former = offered ? std::optional{range.owner} : std::nullopt;
+                       found->second.grant_sent || found->second.inherited;
+  range.former_owner = offered ? std::optional{range.owner} : std::nullopt;
   range.owner = new_owner;
   range.granted = false;
   // Uses two fence numbers: the lower one for the release, which must be above
@@ -107,26 +107,26 @@
   for (key_range& range : draft.ranges) {
     const auto transfer_entry = service.transfers.find(IdOf(range));
     const bool in_transfer = transfer_entry != service.transfers.end();
-    if (!range.granted && in_transfer && !transfer_entry->second.let_go) {
+    if (!range.granted && in_transfer && !transfer_entry->second.keys_free) {
       continue;  // The former owner may hold the keys and must release them.
     }
-    const bool fenced = in_transfer && transfer_entry->second.fenced;
+    const bool fenced = in_transfer && transfer_entry->second.grant_fenced;
     if (IsUsable(range.owner, now) && !fenced) {
       continue;
     }
     if (fenced) {
       draft.last_fence += 2;
       range.fence = draft.last_fence;
-      range.former.reset();
+      range.former_owner.reset();
       range.granted = false;
       changed = true;
       continue;
     }
     if (!usable) {
-      usable = Candidates(service.name, now);
+      usable = BalanceCandidates(service.name, now);
     }
     const balance_target* new_owner =
-        LeastLoaded(draft, service.load.steady(), *usable);
+        LeastLoaded(draft, service.load.steady_rates(), *usable);
     // A restarted target keeps its keys if its new process is already usable.
     for (const balance_target& target : *usable) {
       if (target.life.id == range.owner.id) {
@@ -136,78 +136,80 @@
     if (new_owner == nullptr || new_owner->life == range.owner) {
       continue;
     }
-    out.emplace_back(NoteOf(assigner_note::kind::kTargetLost, service, range,
-                            range.owner.id));
+    out.emplace_back(MakeNote(assigner_note::kind::kTargetLost, service, range,
+                              range.owner.id));
     Reassign(service, draft, range, new_owner->life);
     changed = true;
   }
   return changed;
 }
 
-std::vector<key_move> key_assigner::PlanBalance(keyed_service& service,
-                                                const key_map& draft,
-                                                time_point now) {
-  const std::vector<balance_target> candidates = Candidates(service.name, now);
+std::vector<key_move> key_assigner::PlanBalancingMoves(keyed_service& service,
+                                                       const key_map& draft,
+                                                       time_point now) {
+  const std::vector<balance_target> candidates =
+      BalanceCandidates(service.name, now);
   balance_limits recent;
-  recent.averaged = key_load::kRecentTime;
-  recent.overload = kRecentOverloadRatio;
-  recent.underload = kRecentUnderloadRatio;
+  recent.load_time_constant = key_load::kRecentTimeConstant;
+  recent.overload_ratio = kRecentOverloadRatio;
+  recent.underload_ratio = kRecentUnderloadRatio;
   std::vector<key_move> moves =
-      PlanMoves(draft, service.load.recent(), candidates, recent);
+      PlanMoves(draft, service.load.recent_rates(), candidates, recent);
   const bool moving =
       std::any_of(draft.ranges.begin(), draft.ranges.end(),
                   [](const key_range& range) { return !range.granted; });
   if (moves.empty() && !moving &&
-      now - service.refined_at >= kSteadyBalancePeriod) {
-    service.refined_at = now;
+      now - service.steady_balanced_at >= kSteadyBalancePeriod) {
+    service.steady_balanced_at = now;
     balance_limits steady;
-    steady.averaged = key_load::kSteadyTime;
-    steady.overload = kSteadyOverloadRatio;
-    steady.underload = kSteadyUnderloadRatio;
-    moves = PlanMoves(draft, service.load.steady(), candidates, steady);
+    steady.load_time_constant = key_load::kSteadyTimeConstant;
+    steady.overload_ratio = kSteadyOverloadRatio;
+    steady.underload_ratio = kSteadyUnderloadRatio;
+    moves = PlanMoves(draft, service.load.steady_rates(), candidates, steady);
   }
   return moves;
 }
 
-bool key_assigner::Balance(keyed_service& service, key_map& draft,
-                           time_point now, assigner_actions& out) {
-  if (now - service.balanced_at < kBalancePeriod || doubtful_) {
+bool key_assigner::BalanceLoad(keyed_service& service, key_map& draft,
+                               time_point now, assigner_actions& out) {
+  if (now - service.balanced_at < kBalancePeriod ||
+      targets_may_be_incomplete_) {
     return false;
   }
   service.balanced_at = now;
-  const std::vector<key_move> moves = PlanBalance(service, draft, now);
+  const std::vector<key_move> moves = PlanBalancingMoves(service, draft, now);
   for (const key_move& move : moves) {
-    for (key_range& range : CutOut(draft, move.first, move.last)) {
+    for (key_range& range : SplitAtBounds(draft, move.first, move.last)) {
       if (range.granted) {
-        out.emplace_back(NoteOf(assigner_note::kind::kKeysMoving, service,
-                                range, move.to.id));
-        Reassign(service, draft, range, move.to);
+        out.emplace_back(MakeNote(assigner_note::kind::kKeysMoving, service,
+                                  range, move.new_owner.id));
+        Reassign(service, draft, range, move.new_owner);
       }
     }
   }
   return !moves.empty();
 }
 
-std::set<std::string> key_assigner::SilentOwners(
+std::set<std::string> key_assigner::UnansweringOwners(
     const std::string& service) const {
   std::set<std::string> silent;
   for (const key_range& range : services_.at(service).map.ranges) {
     const auto owner = targets_.find(LifeKey(range.owner));
     if (range.granted && owner != targets_.end() &&
-        owner->second.answered_at < taken_at_) {
+        owner->second.last_answer_at < acquired_at_) {
       silent.insert(owner->first);
     }
   }
   return silent;
 }
 
-std::vector<balance_target> key_assigner::Candidates(const std::string& service,
-                                                     time_point now) const {
+std::vector<balance_target> key_assigner::BalanceCandidates(
+    const std::string& service, time_point now) const {
   std::vector<const target_state*> usable;
-  const std::set<std::string> silent = SilentOwners(service);
+  const std::set<std::string> silent = UnansweringOwners(service);
   for (const auto& [life, state] : targets_) {
     if (state.listed && state.entry.service == service &&
-        state.failed_orders == 0 && !silent.contains(life) &&
+        state.consecutive_failures == 0 && !silent.contains(life) &&
         IsUsable(state.entry.life, now)) {
       usable.push_back(&state);
     }
--- a/src/core/key_assigner_orders.cc
+++ b/src/core/key_assigner_orders.cc
@@ -33,89 +33,90 @@
 
 }  // namespace
 
-std::string_view ToString(order_end outcome) {
+std::string_view ToString(order_outcome outcome) {
   switch (outcome) {
-    case order_end::kDone:
+    case order_outcome::kDone:
       return "done";
-    case order_end::kFenced:
+    case order_outcome::kFenced:
       return "fenced";
-    case order_end::kRejected:
+    case order_outcome::kRejected:
       return "rejected";
-    case order_end::kNoProcess:
+    case order_outcome::kNoProcess:
       return "no-process";
-    case order_end::kNotSent:
+    case order_outcome::kNotSent:
       return "not-sent";
-    case order_end::kUnanswered:
+    case order_outcome::kUnanswered:
       return "unanswered";
   }
   return "unknown";
 }
 
-duration key_assigner::LongestHold() const {
-  return settings_.hold + settings_.hold / kTargetClockDriftDivisor +
+duration key_assigner::MaxGrantValidity() const {
+  return settings_.grant_ttl + settings_.grant_ttl / kTargetClockDriftDivisor +
          kGrantValidityMargin;
 }
 
-time_point key_assigner::InheritedUntil() const {
+time_point key_assigner::InheritedGrantsExpireAt() const {
   // Each former lease holder may have sent grants until it stopped.
-  time_point last_stop = taken_at_;
+  time_point last_stop = acquired_at_;
   for (const auto& [host, stops_at] : predecessors_) {
     last_stop = std::max(last_stop, stops_at);
   }
-  return last_stop + kGrantTimeout + LongestHold();
+  return last_stop + kGrantTimeout + MaxGrantValidity();
 }
 
-bool key_assigner::IsReleaseProof(const target_life& former,
-                                  time_point now) const {
+bool key_assigner::IsReleaseConclusive(const target_life& former,
+                                       time_point now) const {
   if (settings_.targets_keep_release_fences) {
     return true;
   }
   const auto found = targets_.find(LifeKey(former));
-  return now >= InheritedUntil() &&
-         (found == targets_.end() || now >= found->second.unanswered_until);
+  return now >= InheritedGrantsExpireAt() &&
+         (found == targets_.end() ||
+          now >= found->second.unanswered_grants_expire_at);
 }
 
-bool key_assigner::IsGrantUnderWay(const target_life& life,
-                                   const key_range& range) const {
+bool key_assigner::IsGrantPending(const target_life& life,
+                                  const key_range& range) const {
   const std::string target = LifeKey(life);
   return std::any_of(orders_.begin(), orders_.end(), [&](const auto& entry) {
     const order_context& order = entry.second;
-    return order.grant && order.target == target &&
-           order.range.second <= range.last && range.first <= order.last;
+    return order.is_grant && order.target == target &&
+           order.range.second <= range.last && range.first <= order.last_key;
   });
 }
 
-std::string_view key_assigner::WhyFree(const key_range& range,
-                                       const transfer& state,
-                                       time_point now) const {
-  const target_life& former = *range.former;
-  if (state.released && IsReleaseProof(former, now)) {
+std::string_view key_assigner::KeysFreeReason(const key_range& range,
+                                              const transfer& state,
+                                              time_point now) const {
+  const target_life& former = *range.former_owner;
+  if (state.release_answered && IsReleaseConclusive(former, now)) {
     return "released";
   }
   if (LaterLife(former) == nullptr && IsAddressReused(former)) {
     return "address-reused";
   }
-  return now >= HeldUntil(former) ? "grants-expired" : std::string_view{};
+  return now >= GrantsExpireAt(former) ? "grants-expired" : std::string_view{};
 }
 
-time_point key_assigner::HeldUntil(const target_life& life) const {
-  const time_point inherited = InheritedUntil();
+time_point key_assigner::GrantsExpireAt(const target_life& life) const {
+  const time_point inherited = InheritedGrantsExpireAt();
   const auto found = targets_.find(LifeKey(life));
   if (found == targets_.end()) {
     return inherited;
   }
-  if (found->second.orders > 0) {
+  if (found->second.pending_grants > 0) {
     return time_point::max();
   }
-  return std::max(inherited, found->second.held_until);
+  return std::max(inherited, found->second.grants_expire_at);
 }
 
-uint64_t key_assigner::Order(keyed_service& service, const key_range& range,
-                             bool is_grant, bool is_renewal,
-                             const target_life& target,
-                             const std::string& handover_token, time_point now,
-                             assigner_actions& out) {
-  target_state* state = StateOf(target);
+uint64_t key_assigner::SendOrder(keyed_service& service, const key_range& range,
+                                 bool is_grant, bool is_renewal,
+                                 const target_life& target,
+                                 const std::string& handover_token,
+                                 time_point now, assigner_actions& out) {
+  target_state* state = FindTarget(target);
   if (state == nullptr) {
     return 0;
   }
@@ -123,25 +124,25 @@
   const duration timeout = is_grant ? kGrantTimeout : kReleaseTimeout;
   orders_[id] = {.service = service.name,
                  .range = IdOf(range),
-                 .last = range.last,
+                 .last_key = range.last,
                  .target = LifeKey(target),
-                 .grant = is_grant,
-                 .renews = is_renewal,
-                 .hands_over = range.former == target,
+                 .is_grant = is_grant,
+                 .is_renewal = is_renewal,
+                 .is_former_owner = range.former_owner == target,
                  .deadline = now + timeout + kOrderRetryDelay};
-  state->orders += is_grant ? 1 : 0;
+  state->pending_grants += is_grant ? 1 : 0;
   const bool lease_lapsed = !IsHolder(now);
-  out.emplace_back(
-      key_order{.id = id,
-                .grant = is_grant,
-                .target = target,
-                .address = state->entry.address,
-                .first = range.first,
-                .last = range.last,
-                .fence = is_grant ? range.fence : range.fence - 1,
-                .hold = settings_.hold,
-                .handover = handover_token,
-                .newest_connection = lease_lapsed ? newest_connection_ : 0});
+  out.emplace_back(key_order{
+      .id = id,
+      .is_grant = is_grant,
+      .target = target,
+      .address = state->entry.address,
+      .first = range.first,
+      .last = range.last,
+      .fence = is_grant ? range.fence : range.fence - 1,
+      .grant_ttl = settings_.grant_ttl,
+      .handover_token = handover_token,
+      .max_connection_number = lease_lapsed ? max_connection_number_ : 0});
   return id;
 }
 
@@ -150,77 +151,85 @@
   // The map that is being written may assume that the new owner has not been
   // sent a grant. A grant sent during the write would be missing from the
   // record, and its receiver would never be told to release the keys.
-  return service.write &&
-         std::none_of(service.draft.ranges.begin(), service.draft.ranges.end(),
+  return service.record_write &&
+         std::none_of(service.pending_map.ranges.begin(),
+                      service.pending_map.ranges.end(),
                       [&](const key_range& planned) {
                         return IdOf(planned) == IdOf(range);
                       });
 }
 
-void key_assigner::Renew(keyed_service& service, const key_range& range,
-                         time_point now, assigner_actions& out) {
-  renewal& state = service.renewals[IdOf(range)];
-  if (state.order != 0 || now < state.due || !IsUsable(range.owner, now)) {
+void key_assigner::RenewGrant(keyed_service& service, const key_range& range,
+                              time_point now, assigner_actions& out) {
+  renewal_state& state = service.renewals[IdOf(range)];
+  if (state.order_id != 0 || now < state.due_at ||
+      !IsUsable(range.owner, now)) {
     return;
   }
-  state.order = Order(service, range, true, true, range.owner, {}, now, out);
-  state.due = now + kGrantRenewalPeriod;
+  state.order_id =
+      SendOrder(service, range, true, true, range.owner, {}, now, out);
+  state.due_at = now + kGrantRenewalPeriod;
 }
 
-void key_assigner::StepRange(keyed_service& service, const key_range& range,
-                             time_point now, assigner_actions& out) {
+void key_assigner::UpdateTransfer(keyed_service& service,
+                                  const key_range& range, time_point now,
+                                  assigner_actions& out) {
   transfer& state = service.transfers[IdOf(range)];
-  if (!range.former) {
-    state.let_go = true;
+  if (!range.former_owner) {
+    state.keys_free = true;
   }
-  if (!state.let_go) {
-    const std::string_view reason = WhyFree(range, state, now);
+  if (!state.keys_free) {
+    const std::string_view reason = KeysFreeReason(range, state, now);
     if (!reason.empty()) {
-      state.let_go = true;
-      assigner_note note = NoteOf(assigner_note::kind::kKeysFree, service,
-                                  range, range.former->id);
+      state.keys_free = true;
+      assigner_note note = MakeNote(assigner_note::kind::kKeysFree, service,
+                                    range, range.former_owner->id);
       note.detail = reason;
       out.emplace_back(std::move(note));
     }
   }
-  if (state.confirmed || state.order != 0 || now < state.retry_at) {
+  if (state.grant_confirmed || state.order_id != 0 || now < state.retry_at) {
     return;
   }
   state.retry_at = now + kOrderRetryDelay;
-  if (!state.let_go && state.released) {
+  if (!state.keys_free && state.release_answered) {
     return;
   }
-  if (!state.let_go) {
+  if (!state.keys_free) {
     // Renewals for a process that has ended may have reached the later process
     // at its address, so that the later one must release the keys.
-    const target_state* later = LaterLife(*range.former);
+    const target_state* later = LaterLife(*range.former_owner);
     const target_life& holder =
-        later == nullptr ? *range.former : later->entry.life;
+        later == nullptr ? *range.former_owner : later->entry.life;
     if (!settings_.targets_keep_release_fences &&
-        IsGrantUnderWay(holder, range)) {
+        IsGrantPending(holder, range)) {
       return;  // The grant might arrive after the release.
     }
-    state.order = Order(service, range, false, false, holder, {}, now, out);
+    state.order_id =
+        SendOrder(service, range, false, false, holder, {}, now, out);
   } else if (IsUsable(range.owner, now)) {
-    state.offered = true;
-    state.order = Order(service, range, true, false, range.owner,
-                        state.handover, now, out);
+    state.grant_sent = true;
+    state.order_id = SendOrder(service, range, true, false, range.owner,
+                               state.handover_token, now, out);
   }
 }
 
-void key_assigner::NoteOrder(target_state& state, const order_context& context,
-                             const order_report& report, time_point now) {
-  const bool reached =
-      report.end != order_end::kNoProcess && report.end != order_end::kNotSent;
-  if (context.grant) {
-    state.orders = std::max(state.orders - 1, 0);
+void key_assigner::RecordOrderOutcome(target_state& state,
+                                      const order_context& context,
+                                      const order_report& report,
+                                      time_point now) {
+  const bool reached = report.outcome != order_outcome::kNoProcess &&
+                       report.outcome != order_outcome::kNotSent;
+  if (context.is_grant) {
+    state.pending_grants = std::max(state.pending_grants - 1, 0);
   }
-  if (context.grant && reached && report.end != order_end::kFenced) {
+  if (context.is_grant && reached && report.outcome != order_outcome::kFenced) {
     // The grant has arrived by now or never will, and its validity counts from
     // its arrival.
-    state.held_until = std::max(state.held_until, now + LongestHold());
-    if (report.end == order_end::kUnanswered) {
-      state.unanswered_until = state.held_until;
+    state.grants_expire_at =
+        std::max(state.grants_expire_at, now + MaxGrantValidity());
+    if (report.outcome == order_outcome::kUnanswered) {
+      state.unanswered_grants_expire_at = state.grants_expire_at;
     }
   }
   if (!IsHolder(now)) {
@@ -228,19 +237,20 @@
     // fail for lack of one, so that a failure says nothing about the target.
     return;
   }
-  newest_connection_ = std::max(newest_connection_, report.connection);
+  max_connection_number_ =
+      std::max(max_connection_number_, report.connection_number);
   // A rejected order has reached a process that accepts none, most likely a
   // different one at the target's address, and doesn't prove that the target is
   // alive. If it counted as an answer, a lost target could be assigned more
   // keys, which would then have no owner until its grants expired.
-  const bool answered =
-      report.end == order_end::kDone || report.end == order_end::kFenced;
+  const bool answered = report.outcome == order_outcome::kDone ||
+                        report.outcome == order_outcome::kFenced;
   if (answered) {
-    state.answered_at = now;
-    state.failed_orders = 0;
-  } else if (state.failed_orders++ == 0) {
+    state.last_answer_at = now;
+    state.consecutive_failures = 0;
+  } else if (state.consecutive_failures++ == 0) {
     state.failing_since = now;
-    state.failed_sequence = state.entry.sequence;
+    state.sequence_at_failure = state.entry.sequence;
   }
 }
 
@@ -252,24 +262,24 @@
   }
   const order_context context = found->second;
   orders_.erase(found);
-  if (report.end != order_end::kDone) {
-    ReportFailure(context, report.end, out);
+  if (report.outcome != order_outcome::kDone) {
+    NoteOrderFailure(context, report.outcome, out);
   }
   const auto target = targets_.find(context.target);
   if (target != targets_.end()) {
-    NoteOrder(target->second, context, report, now);
+    RecordOrderOutcome(target->second, context, report, now);
   }
   const auto found_service = services_.find(context.service);
   if (found_service == services_.end()) {
     return;
   }
   keyed_service& service = found_service->second;
-  if (context.renews) {
+  if (context.is_renewal) {
     const auto found_renewal = service.renewals.find(context.range);
     if (found_renewal != service.renewals.end()) {
-      found_renewal->second.order = 0;
-      if (report.end != order_end::kDone) {
-        found_renewal->second.due = now + kOrderRetryDelay;
+      found_renewal->second.order_id = 0;
+      if (report.outcome != order_outcome::kDone) {
+        found_renewal->second.due_at = now + kOrderRetryDelay;
       }
     }
     return;
@@ -279,49 +289,51 @@
     return;
   }
   transfer& state = found_transfer->second;
-  state.order = 0;
-  if (report.end == order_end::kDone) {
-    if (context.grant) {
-      state.confirmed = true;
-      service.renewals[context.range].due = now + kGrantRenewalPeriod;
+  state.order_id = 0;
+  if (report.outcome == order_outcome::kDone) {
+    if (context.is_grant) {
+      state.grant_confirmed = true;
+      service.renewals[context.range].due_at = now + kGrantRenewalPeriod;
     } else {
-      state.released = true;
+      state.release_answered = true;
       // Only the former owner itself has state to hand over; a later process
       // has none.
-      state.handover = context.hands_over ? report.handover : "";
+      state.handover_token =
+          context.is_former_owner ? report.handover_token : "";
     }
     state.retry_at = now;
-    StepService(service, now, out);
-  } else if (report.end == order_end::kFenced) {
-    state.fenced = true;
-    out.emplace_back(assigner_note{.what = assigner_note::kind::kGrantFenced,
-                                   .service = service.name,
-                                   .fence = context.range.first});
+    UpdateService(service, now, out);
+  } else if (report.outcome == order_outcome::kFenced) {
+    state.grant_fenced = true;
+    out.emplace_back(
+        assigner_note{.note_kind = assigner_note::kind::kGrantFenced,
+                      .service = service.name,
+                      .fence = context.range.first});
   }
 }
 
-void key_assigner::ReportFailure(const order_context& context,
-                                 order_end outcome,
-                                 assigner_actions& out) const {
-  const std::string_view order_kind = context.renews  ? "renewal: "
-                                      : context.grant ? "grant: "
-                                                      : "release: ";
+void key_assigner::NoteOrderFailure(const order_context& context,
+                                    order_outcome outcome,
+                                    assigner_actions& out) const {
+  const std::string_view order_kind = context.is_renewal ? "renewal: "
+                                      : context.is_grant ? "grant: "
+                                                         : "release: ";
   out.emplace_back(assigner_note{
-      .what = assigner_note::kind::kOrderFailed,
+      .note_kind = assigner_note::kind::kOrderFailed,
       .service = context.service,
       .target = context.target,
       .first = context.range.second,
-      .last = context.last,
+      .last = context.last_key,
       .fence = context.range.first,
       .detail = std::string{order_kind}.append(ToString(outcome))});
 }
 
-void key_assigner::EndLateOrders(time_point now, assigner_actions& out) {
+void key_assigner::CancelOverdueOrders(time_point now, assigner_actions& out) {
   for (auto it = orders_.begin(); it != orders_.end();) {
     const auto [id, context] = *it++;
     if (now >= context.deadline) {
       out.emplace_back(order_cancel{id});
-      OnOrderEnded({.id = id, .end = order_end::kUnanswered}, now, out);
+      OnOrderEnded({.id = id, .outcome = order_outcome::kUnanswered}, now, out);
     }
   }
 }
--- a/src/core/key_balance.cc
+++ b/src/core/key_balance.cc
@@ -29,10 +29,10 @@
 class load_prefix_sums {
  public:
   load_prefix_sums(key_loads loads, size_t target_count)
-      : sums_(kKeys + 1, 0.0) {
+      : sums_(kKeyCount + 1, 0.0) {
     const double base = kBaseLoadPerTarget * static_cast<double>(target_count) /
-                        static_cast<double>(kKeys);
-    for (size_t key = 0; key < kKeys; ++key) {
+                        static_cast<double>(kKeyCount);
+    for (size_t key = 0; key < kKeyCount; ++key) {
       sums_[key + 1] = sums_[key] + base + (loads.empty() ? 0.0 : loads[key]);
     }
   }
@@ -69,7 +69,7 @@
   // An exponential average has the variance of a count over twice its time
   // constant.
   const double seconds =
-      2.0 * std::chrono::duration<double>(limits.averaged).count();
+      2.0 * std::chrono::duration<double>(limits.load_time_constant).count();
   return seconds > 0.0 ? kNoiseDeviations * std::sqrt(load / seconds) : 0.0;
 }
 
@@ -145,7 +145,7 @@
       }
       const target_life& new_owner = targets_[range.planned_owner].life;
       const bool extends_last_move = !moves.empty() &&
-                                     moves.back().to == new_owner &&
+                                     moves.back().new_owner == new_owner &&
                                      moves.back().last + 1 == range.first;
       if (extends_last_move) {
         moves.back().last = range.last;
@@ -158,15 +158,16 @@
 
  private:
   bool IsOverloaded(const target_state& state) const {
-    return state.load > state.fair_load * limits_.overload &&
+    return state.load > state.fair_load * limits_.overload_ratio &&
            state.load - state.fair_load > NoiseMargin(state.fair_load, limits_);
   }
 
   bool IsUnderloaded(const target_state& state) const {
     const bool has_no_keys = state.load <= 0.0;
-    return has_no_keys || (state.load < state.fair_load * limits_.underload &&
-                           state.fair_load - state.load >
-                               NoiseMargin(state.fair_load, limits_));
+    return has_no_keys ||
+           (state.load < state.fair_load * limits_.underload_ratio &&
+            state.fair_load - state.load >
+                NoiseMargin(state.fair_load, limits_));
   }
 
   /// Returns the target with the highest load ratio among those that can give
@@ -265,7 +266,7 @@
     const double min_load =
         IsUnderloaded(receiver)
             ? receiver.fair_load * kMinUnderloadedMoveFraction
-            : std::min(limits_.least_load, receiver.fair_load / 2);
+            : std::min(limits_.min_moved_load, receiver.fair_load / 2);
     const double wanted_load = std::min(donor.load - donor.fair_load,
                                         receiver.fair_load - receiver.load);
     if (wanted_load >= min_load) {
@@ -339,8 +340,8 @@
   return planner.Moves();
 }
 
-key_map DealKeys(std::span<const balance_target> targets,
-                 fence_number first_fence) {
+key_map MakeInitialKeyMap(std::span<const balance_target> targets,
+                          fence_number first_fence) {
   key_map map;
   map.last_fence = first_fence;
   double capacity = 0.0;
@@ -353,7 +354,7 @@
     assigned_capacity += target.capacity;
     const bool is_last = &target == &targets.back();
     const auto end = static_cast<uint32_t>(
-        is_last ? kKeys : kKeys * assigned_capacity / capacity);
+        is_last ? kKeyCount : kKeyCount * assigned_capacity / capacity);
     if (end <= next_key) {
       continue;
     }
--- a/src/core/key_load.cc
+++ b/src/core/key_load.cc
@@ -23,17 +23,17 @@
 }  // namespace
 
 void key_load::Add(uint32_t key, uint32_t count) {
-  counts_.resize(kKeys, 0);
-  if (key < kKeys) {
+  counts_.resize(kKeyCount, 0);
+  if (key < kKeyCount) {
     counts_[key] += count;
   }
 }
 
-double key_load::ExpectedOf(size_t block, double seconds) const {
+double key_load::ExpectedCount(size_t block, double seconds) const {
   double rate = 0.0;
   for (size_t key = block * kKeysPerBlock; key < (block + 1) * kKeysPerBlock;
        ++key) {
-    rate += recent_[key];
+    rate += recent_rates_[key];
   }
   return rate * seconds;
 }
@@ -44,42 +44,42 @@
        ++key) {
     counted += counts_[key];
   }
-  const double expected = ExpectedOf(block, seconds);
+  const double expected = ExpectedCount(block, seconds);
   return counted >
          expected + kJumpDeviations * std::sqrt(expected) + kMinJumpRequests;
 }
 
-bool key_load::Average(time_point now) {
-  if (counted_from_ == time_point{}) {
-    counted_from_ = now;
+bool key_load::UpdateAverages(time_point now) {
+  if (count_start_ == time_point{}) {
+    count_start_ = now;
   }
-  const duration elapsed = now - counted_from_;
+  const duration elapsed = now - count_start_;
   if (elapsed < kAveragePeriod) {
     return false;
   }
-  recent_.resize(kKeys, 0.0);
-  steady_.resize(kKeys, 0.0);
-  counts_.resize(kKeys, 0);
+  recent_rates_.resize(kKeyCount, 0.0);
+  steady_rates_.resize(kKeyCount, 0.0);
+  counts_.resize(kKeyCount, 0);
   const double seconds = std::chrono::duration<double>(elapsed).count();
   const auto update_weight = [&](duration time_constant) {
     return 1.0 - std::exp(-std::chrono::duration<double>(elapsed) /
                           std::chrono::duration<double>(time_constant));
   };
-  const double recent_weight = update_weight(kRecentTime);
-  const double steady_weight = update_weight(kSteadyTime);
-  for (size_t block = 0; block < kKeys / kKeysPerBlock; ++block) {
+  const double recent_weight = update_weight(kRecentTimeConstant);
+  const double steady_weight = update_weight(kSteadyTimeConstant);
+  for (size_t block = 0; block < kKeyCount / kKeysPerBlock; ++block) {
     // After a jump the earlier rates of a block say nothing about the present
     // ones, so the new rates replace them.
     const double block_weight = HasJumped(block, seconds) ? 1.0 : recent_weight;
     for (size_t key = block * kKeysPerBlock; key < (block + 1) * kKeysPerBlock;
          ++key) {
       const double rate = counts_[key] / seconds;
-      recent_[key] += block_weight * (rate - recent_[key]);
-      steady_[key] += steady_weight * (rate - steady_[key]);
+      recent_rates_[key] += block_weight * (rate - recent_rates_[key]);
+      steady_rates_[key] += steady_weight * (rate - steady_rates_[key]);
       counts_[key] = 0;
     }
   }
-  counted_from_ = now;
+  count_start_ = now;
   return true;
 }
 
--- a/src/core/key_map.cc
+++ b/src/core/key_map.cc
@@ -32,8 +32,9 @@
   reader.Read("fence", out.fence);
   reader.ReadObject("owner", [&](object_reader& r) { ReadLife(r, out.owner); });
   reader.Read("granted", out.granted);
-  reader.ReadObject(
-      "former", [&](object_reader& r) { ReadLife(r, out.former.emplace()); });
+  reader.ReadObject("former", [&](object_reader& r) {
+    ReadLife(r, out.former_owner.emplace());
+  });
   // Written by earlier releases and ignored: whether to wait for the previous
   // owner is now derived from the orders that the lease holder itself sent.
   bool ignored = true;
@@ -79,8 +80,8 @@
                   {"fence", range.fence},
                   {"granted", range.granted},
                   {"owner", LifeToJson(range.owner)}};
-    if (range.former) {
-      entry["former"] = LifeToJson(*range.former);
+    if (range.former_owner) {
+      entry["former"] = LifeToJson(*range.former_owner);
     }
     ranges.push_back(std::move(entry));
   }
@@ -117,7 +118,7 @@
   return map;
 }
 
-key_map KeyChanges(const key_map& before, const key_map& after) {
+key_map DiffKeyMaps(const key_map& before, const key_map& after) {
   key_map changes{.last_fence = after.last_fence, .ranges = {}};
   for (const key_range& range : after.ranges) {
     const key_range* old_range = before.Find(range.first);
@@ -128,7 +129,7 @@
   return changes;
 }
 
-result<key_map> WithKeyChanges(const key_map& before, const key_map& changes) {
+result<key_map> ApplyKeyChanges(const key_map& before, const key_map& changes) {
   key_map after{.last_fence = changes.last_fence, .ranges = {}};
   auto kept = before.ranges.begin();
   for (const key_range& change : changes.ranges) {
@@ -147,14 +148,15 @@
   return after;
 }
 
-void JoinEqualNeighbours(key_map& map) {
+void MergeEqualNeighbours(key_map& map) {
   std::vector<key_range> merged;
   for (key_range& range : map.ranges) {
     if (!merged.empty()) {
       key_range& previous = merged.back();
-      const bool is_equal =
-          previous.owner == range.owner && previous.fence == range.fence &&
-          previous.granted == range.granted && previous.former == range.former;
+      const bool is_equal = previous.owner == range.owner &&
+                            previous.fence == range.fence &&
+                            previous.granted == range.granted &&
+                            previous.former_owner == range.former_owner;
       if (is_equal) {
         previous.last = range.last;
         continue;
@@ -165,7 +167,7 @@
   map.ranges = std::move(merged);
 }
 
-void CutBefore(key_map& map, key_point at) {
+void SplitBefore(key_map& map, key_point at) {
   const auto found = std::partition_point(
       map.ranges.begin(), map.ranges.end(),
       [&](const key_range& range) { return range.last < at; });
@@ -178,10 +180,11 @@
   map.ranges.insert(found + 1, std::move(upper));
 }
 
-std::span<key_range> CutOut(key_map& map, key_point first, key_point last) {
-  CutBefore(map, first);
+std::span<key_range> SplitAtBounds(key_map& map, key_point first,
+                                   key_point last) {
+  SplitBefore(map, first);
   if (last != kLastKey) {
-    CutBefore(map, static_cast<key_point>(last + 1));
+    SplitBefore(map, static_cast<key_point>(last + 1));
   }
   const auto begin = std::partition_point(
       map.ranges.begin(), map.ranges.end(),
--- a/src/core/object_cache.cc
+++ b/src/core/object_cache.cc
@@ -14,7 +14,7 @@
 std::vector<object_change> object_cache::Apply(const change_batch& batch) {
   std::vector<object_change> new_changes;
   for (const object_change& change : batch.changes) {
-    if (ApplyOne(change)) {
+    if (ApplyChange(change)) {
       new_changes.push_back(change);
     }
   }
@@ -25,7 +25,7 @@
   return new_changes;
 }
 
-bool object_cache::ApplyOne(const object_change& change) {
+bool object_cache::ApplyChange(const object_change& change) {
   object_change& cached = objects_[change.key];
   if (change.revision <= cached.revision) {
     return false;
--- a/src/core/object_store.cc
+++ b/src/core/object_store.cc
@@ -31,7 +31,7 @@
 }  // namespace
 
 status CheckObjectKey(std::string_view key) {
-  if (key.size() > kMaxObjectKey || !HasValidSegments(key)) {
+  if (key.size() > kMaxObjectKeyBytes || !HasValidSegments(key)) {
     return error{error_code::kMalformed, std::string{key.substr(0, 64)},
                  "this is not the key of an object",
                  "use words of a-z 0-9 . _ @ - with / between them"};
@@ -52,7 +52,7 @@
   if (!valid) {
     return valid.error();
   }
-  if (value.size() > kMaxObjectValue) {
+  if (value.size() > kMaxObjectValueBytes) {
     return error{error_code::kTooLarge, std::string{key},
                  "the value is over 1 MiB", "split it over several objects"};
   }
@@ -99,9 +99,9 @@
 }
 
 watch_ticket watch_list::Add(uint64_t since, duration wait, time_point now) {
-  const duration allowed = std::clamp(wait, duration{0}, kMaxWatchTime);
-  watches_.emplace(++last_, watch{since, now + allowed});
-  return last_;
+  const duration allowed = std::clamp(wait, duration{0}, kMaxWatchWait);
+  watches_.emplace(++last_ticket_, watch{since, now + allowed});
+  return last_ticket_;
 }
 
 std::vector<watch_ticket> watch_list::TakeDue(uint64_t revision,
@@ -109,7 +109,7 @@
   std::vector<watch_ticket> due_watches;
   std::erase_if(watches_, [&](const auto& entry) {
     const bool is_due =
-        revision > entry.second.since || now >= entry.second.until;
+        revision > entry.second.since || now >= entry.second.deadline;
     if (is_due) {
       due_watches.push_back(entry.first);
     }
@@ -118,21 +118,22 @@
   return due_watches;
 }
 
-time_point watch_list::NextEvent() const {
+time_point watch_list::NextTimeout() const {
   time_point next = time_point::max();
   for (const auto& [ticket, watch] : watches_) {
-    next = std::min(next, watch.until);
+    next = std::min(next, watch.deadline);
   }
   return next;
 }
 
 token_bucket::token_bucket(double rate, time_point start)
-    : rate_(rate), tokens_(rate), filled_(start) {}
+    : calls_per_second_(rate), tokens_(rate), last_refill_time_(start) {}
 
-bool token_bucket::Take(time_point now) {
-  const std::chrono::duration<double> elapsed = now - filled_;
-  filled_ = now;
-  tokens_ = std::min(rate_, tokens_ + elapsed.count() * rate_);
+bool token_bucket::TryTake(time_point now) {
+  const std::chrono::duration<double> elapsed = now - last_refill_time_;
+  last_refill_time_ = now;
+  tokens_ = std::min(calls_per_second_,
+                     tokens_ + elapsed.count() * calls_per_second_);
   if (tokens_ < 1) {
     return false;
   }
@@ -141,11 +142,11 @@
 }
 
 call_meter::call_meter(double read_rate, double write_rate, time_point start)
-    : reads_(read_rate, start), writes_(write_rate, start) {}
+    : read_limiter_(read_rate, start), write_limiter_(write_rate, start) {}
 
 bool call_meter::Admit(call_kind kind, time_point now) {
   const bool is_read = kind == call_kind::kRead;
-  if (!(is_read ? reads_ : writes_).Take(now)) {
+  if (!(is_read ? read_limiter_ : write_limiter_).TryTake(now)) {
     ++counts_.refused;
     return false;
   }
@@ -153,7 +154,7 @@
   return true;
 }
 
-void call_meter::ReadBecameWatch() {
+void call_meter::RecountReadAsWatch() {
   --counts_.reads;
   ++counts_.watches;
 }
@@ -182,11 +183,11 @@
 }
 
 void host_list::Put(listed_host host, time_point now) {
-  pending_.push_back({now + lag_, std::move(host)});
+  pending_.push_back({now + visibility_lag_, std::move(host)});
 }
 
 std::vector<listed_host> host_list::Visible(time_point now) {
-  while (!pending_.empty() && pending_.front().visible <= now) {
+  while (!pending_.empty() && pending_.front().visible_at <= now) {
     listed_host& host = pending_.front().host;
     visible_.insert_or_assign(host.name, host);
     pending_.pop_front();
@@ -198,12 +199,12 @@
   return hosts;
 }
 
-bool platform_faults::Drops(std::string_view zone) const {
+bool platform_faults::DropsCallsFrom(std::string_view zone) const {
   return down || std::find(drop_clients.begin(), drop_clients.end(), zone) !=
                      drop_clients.end();
 }
 
-bool platform_faults::LoseWriteAnswer() {
+bool platform_faults::ConsumeLostWriteAnswer() {
   if (lose_write_answers == 0) {
     return false;
   }
--- a/src/core/peer_directory.cc
+++ b/src/core/peer_directory.cc
@@ -60,10 +60,10 @@
 
 peer_directory::peer_directory(host_entry self) : self_(std::move(self)) {
   hosts_[self_.name].entry = self_;
-  List(self_.name, self_.zone);
+  AddToZone(self_.name, self_.zone);
 }
 
-void peer_directory::List(std::string_view name, std::string_view zone) {
+void peer_directory::AddToZone(std::string_view name, std::string_view zone) {
   std::vector<std::string>& names = by_zone_[std::string(zone)];
   const auto position = std::lower_bound(names.begin(), names.end(), name);
   if (position == names.end() || *position != name) {
@@ -71,7 +71,8 @@
   }
 }
 
-void peer_directory::Unlist(std::string_view name, std::string_view zone) {
+void peer_directory::RemoveFromZone(std::string_view name,
+                                    std::string_view zone) {
   const auto found = by_zone_.find(zone);
   if (found == by_zone_.end()) {
     return;
@@ -88,21 +89,21 @@
   }
   known_host& known = hosts_[entry.name];
   if (entry.life >= known.entry.life) {
-    Unlist(entry.name, known.entry.zone);
+    RemoveFromZone(entry.name, known.entry.zone);
     known.entry = entry;
-    List(entry.name, entry.zone);
+    AddToZone(entry.name, entry.zone);
   }
 }
 
 void peer_directory::Remove(std::string_view name) {
   const auto found = hosts_.find(name);
   if (found != hosts_.end() && name != self_.name) {
-    Unlist(name, found->second.entry.zone);
+    RemoveFromZone(name, found->second.entry.zone);
     hosts_.erase(found);
   }
 }
 
-void peer_directory::Heard(const member& from, time_point now) {
+void peer_directory::RecordMessage(const member& from, time_point now) {
   const auto found = hosts_.find(from.host);
   if (found == hosts_.end() || from.life < found->second.entry.life) {
     return;
@@ -112,11 +113,11 @@
     known.entry.life = from.life;
     known.entry.leaving = false;
   }
-  known.last_heard = now;
-  known.heard = true;
+  known.last_message_time = now;
+  known.has_sent_message = true;
 }
 
-void peer_directory::NoteLeaving(std::string_view name) {
+void peer_directory::MarkLeaving(std::string_view name) {
   const auto found = hosts_.find(name);
   if (found != hosts_.end()) {
     found->second.entry.leaving = true;
@@ -128,24 +129,24 @@
   return found == hosts_.end() ? nullptr : &found->second.entry;
 }
 
-bool peer_directory::Alive(std::string_view name, time_point now,
-                           duration within) const {
+bool peer_directory::IsAlive(std::string_view name, time_point now,
+                             duration within) const {
   if (name == self_.name) {
     return true;
   }
   const auto found = hosts_.find(name);
-  return found != hosts_.end() && found->second.heard &&
+  return found != hosts_.end() && found->second.has_sent_message &&
          !found->second.entry.leaving &&
-         now < found->second.last_heard + within;
+         now < found->second.last_message_time + within;
 }
 
-std::optional<duration> peer_directory::Silence(std::string_view name,
-                                                time_point now) const {
+std::optional<duration> peer_directory::TimeSinceLastMessage(
+    std::string_view name, time_point now) const {
   const auto found = hosts_.find(name);
-  if (found == hosts_.end() || !found->second.heard) {
+  if (found == hosts_.end() || !found->second.has_sent_message) {
     return std::nullopt;
   }
-  return now - found->second.last_heard;
+  return now - found->second.last_message_time;
 }
 
 uint64_t peer_directory::LatestLife(std::string_view name) const {
@@ -166,7 +167,7 @@
          hosts.begin();
 }
 
-std::vector<std::string> peer_directory::Names() const {
+std::vector<std::string> peer_directory::HostNames() const {
   std::vector<std::string> names;
   for (const auto& [name, known] : hosts_) {
     names.push_back(name);
--- a/src/core/placement.cc
+++ b/src/core/placement.cc
@@ -289,7 +289,7 @@
                                              static_cast<XXH64_hash_t>(bucket));
   constexpr double kHashRange = 18446744073709551616.0;  // 2^64
   const double uniform = (static_cast<double>(hash) + 0.5) / kHashRange;
-  return -std::log(uniform) / zone.targets;
+  return -std::log(uniform) / zone.target_count;
 }
 
 /// Divides `buckets` among the zones by the largest remainder method.
@@ -299,7 +299,7 @@
   std::vector<std::pair<int64_t, size_t>> remainders;
   int assigned = 0;
   for (size_t z = 0; z < zones.size(); ++z) {
-    const int64_t exact = int64_t{buckets} * zones[z].targets;
+    const int64_t exact = int64_t{buckets} * zones[z].target_count;
     quotas.push_back(static_cast<int>(exact / targets));
     remainders.emplace_back(-(exact % targets), z);
     assigned += quotas.back();
@@ -325,7 +325,7 @@
   std::vector<int> assigned(static_cast<size_t>(buckets), -1);
   int targets = 0;
   for (const zone_weight& zone : zones) {
-    targets += zone.targets;
+    targets += zone.target_count;
   }
   if (targets == 0) {
     return assigned;
@@ -339,7 +339,7 @@
   scored_assignments.reserve(static_cast<size_t>(buckets) * zones.size());
   for (int b = 0; b < buckets; ++b) {
     for (size_t z = 0; z < zones.size(); ++z) {
-      if (zones[z].targets > 0) {
+      if (zones[z].target_count > 0) {
         scored_assignments.push_back(
             {Score(b, zones[z]), b, static_cast<int>(z)});
       }
--- a/src/core/poison_guard.cc
+++ b/src/core/poison_guard.cc
@@ -22,11 +22,11 @@
   entry& marked = FindOrInsert(content_hash, now);
   marked.crashes++;
   marked.marked_at = now;
-  marked.news = true;
-  any_news_ = true;
+  marked.unsent = true;
+  any_unsent_ = true;
 }
 
-void poison_guard::TakeBackCrash(uint64_t content_hash) {
+void poison_guard::RetractCrash(uint64_t content_hash) {
   const auto found = by_hash_.find(content_hash);
   if (found == by_hash_.end()) {
     return;
@@ -47,26 +47,26 @@
   }
 }
 
-int poison_guard::Crashes(uint64_t content_hash, time_point now) const {
+int poison_guard::CrashCount(uint64_t content_hash, time_point now) const {
   const entry* marked = Find(content_hash, now);
   return marked == nullptr ? 0 : marked->crashes;
 }
 
 bool poison_guard::IsQuarantined(uint64_t content_hash, time_point now) const {
-  return Crashes(content_hash, now) >= kQuarantineCrashes;
+  return CrashCount(content_hash, now) >= kQuarantineCrashCount;
 }
 
-std::vector<poison_mark> poison_guard::TakeNews(time_point now) {
+std::vector<poison_mark> poison_guard::TakeNewMarks(time_point now) {
   std::vector<poison_mark> marks;
-  if (!any_news_) {
+  if (!any_unsent_) {
     return marks;
   }
-  any_news_ = false;
+  any_unsent_ = false;
   for (entry& marked : in_use_) {
-    if (marked.news) {
+    if (marked.unsent) {
       marks.push_back(
           {marked.content_hash, marked.crashes, now - marked.marked_at});
-      marked.news = false;
+      marked.unsent = false;
     }
   }
   return marks;
@@ -89,7 +89,7 @@
     if (mark.age >= lifetime_) {
       continue;
     }
-    if (Crashes(mark.content_hash, now) >= mark.crashes) {
+    if (CrashCount(mark.content_hash, now) >= mark.crashes) {
       continue;
     }
     entry& marked = FindOrInsert(mark.content_hash, now);
@@ -115,7 +115,7 @@
   free_.pop_front();
   added.content_hash = content_hash;
   added.crashes = 0;
-  added.news = false;
+  added.unsent = false;
   added.marked_at = time_point{};
   in_use_.push_back(added);
   by_hash_.insert(added);
--- a/src/core/range.cc
+++ b/src/core/range.cc
@@ -46,17 +46,17 @@
 range_record RecordFromJson(const json& value) {
   range_record record;
   for (const json& slot : value.at("order")) {
-    record.order.push_back(
+    record.roster.push_back(
         roster_slot{MemberFromJson(slot), slot.at("epoch").get<uint64_t>()});
   }
   for (const json& host_run : value.at("previous")) {
-    record.previous.push_back(MemberFromJson(host_run));
+    record.previous_members.push_back(MemberFromJson(host_run));
   }
   record.declared_dead =
       value.at("declared_dead").get<std::vector<std::string>>();
   record.next_epoch = value.at("next_epoch").get<uint64_t>();
-  record.resets = value.at("resets").get<uint64_t>();
-  record.mark = value.at("mark").get<std::string>();
+  record.reset_count = value.at("resets").get<uint64_t>();
+  record.write_id = value.at("mark").get<std::string>();
   record.map = MapFromJson(value.at("map"));
   return record;
 }
@@ -69,11 +69,11 @@
 /// Checks that the epochs ascend. Otherwise a member could outrank those that
 /// succeed it.
 status CheckEpochs(const range_record& record) {
-  if (record.order.empty()) {
+  if (record.roster.empty()) {
     return MalformedRecord("order", "the roster is empty");
   }
   uint64_t last_epoch = 0;
-  for (const roster_slot& slot : record.order) {
+  for (const roster_slot& slot : record.roster) {
     if (slot.epoch <= last_epoch) {
       return MalformedRecord("order", "the epochs are not in ascending order");
     }
@@ -92,8 +92,8 @@
 }
 
 int range_record::IndexOf(const member& who) const {
-  for (size_t i = 0; i < order.size(); ++i) {
-    if (order[i].who == who) {
+  for (size_t i = 0; i < roster.size(); ++i) {
+    if (roster[i].host_run == who) {
       return static_cast<int>(i);
     }
   }
@@ -102,9 +102,9 @@
 
 std::vector<member> range_record::Members() const {
   std::vector<member> members;
-  members.reserve(order.size());
-  for (const roster_slot& slot : order) {
-    members.push_back(slot.who);
+  members.reserve(roster.size());
+  for (const roster_slot& slot : roster) {
+    members.push_back(slot.host_run);
   }
   return members;
 }
@@ -116,14 +116,15 @@
   return name;
 }
 
-result<range_parts> ParseRangeName(std::string_view name) {
+result<range_name_parts> ParseRangeName(std::string_view name) {
   const size_t separator = name.find('@');
   if (separator == std::string_view::npos || separator == 0 ||
       separator + 1 == name.size()) {
     return error{error_code::kMalformed, std::string(name),
                  "not a valid range name", "write SERVICE@ZONE"};
   }
-  return range_parts{name.substr(0, separator), name.substr(separator + 1)};
+  return range_name_parts{name.substr(0, separator),
+                          name.substr(separator + 1)};
 }
 
 result<range_record> ParseRangeRecord(std::string_view text) {
@@ -150,13 +151,13 @@
 
 std::string FormatRangeRecord(const range_record& record) {
   json order = json::array();
-  for (const roster_slot& slot : record.order) {
-    json entry = ToJson(slot.who);
+  for (const roster_slot& slot : record.roster) {
+    json entry = ToJson(slot.host_run);
     entry["epoch"] = slot.epoch;
     order.push_back(std::move(entry));
   }
   json previous = json::array();
-  for (const member& host_run : record.previous) {
+  for (const member& host_run : record.previous_members) {
     previous.push_back(ToJson(host_run));
   }
   return json{{"format", kRecordFormatVersion},
@@ -164,8 +165,8 @@
               {"previous", previous},
               {"declared_dead", record.declared_dead},
               {"next_epoch", record.next_epoch},
-              {"resets", record.resets},
-              {"mark", record.mark},
+              {"resets", record.reset_count},
+              {"mark", record.write_id},
               {"map", ToJson(record.map)}}
       .dump();
 }
--- a/src/core/range_balance.cc
+++ b/src/core/range_balance.cc
@@ -11,7 +11,7 @@
 constexpr int kMaxMoves = 8;
 
 double DecayFactor() {
-  const auto period = static_cast<double>(range_balance::kPeriod.count());
+  const auto period = static_cast<double>(range_balance::kPlanPeriod.count());
   const auto half_life = static_cast<double>(range_balance::kHalfLife.count());
   return std::exp2(-period / half_life);
 }
@@ -19,23 +19,23 @@
 }  // namespace
 
 range_balance::range_balance(int buckets)
-    : load_(buckets, 0.0), hot_(kSketchCounters) {}
+    : bucket_load_(buckets, 0.0), hot_keys_(kSketchCounters) {}
 
 void range_balance::Record(int bucket, uint64_t key_hash) {
-  load_[bucket] += 1;
-  hot_.Record(key_hash, bucket);
+  bucket_load_[bucket] += 1;
+  hot_keys_.Record(key_hash, bucket);
 }
 
-bool range_balance::Due(time_point now) {
-  if (now < next_) {
+bool range_balance::DecayIfDue(time_point now) {
+  if (now < next_plan_at_) {
     return false;
   }
-  next_ = now + kPeriod;
+  next_plan_at_ = now + kPlanPeriod;
   const double decay_factor = DecayFactor();
-  for (double& load : load_) {
+  for (double& load : bucket_load_) {
     load *= decay_factor;
   }
-  hot_.Decay(decay_factor);
+  hot_keys_.Decay(decay_factor);
   return true;
 }
 
@@ -46,7 +46,7 @@
   loads.reserve(state.buckets.size());
   for (const int bucket : state.buckets) {
     positions[bucket] = static_cast<int>(loads.size());
-    loads.push_back(load_[bucket]);
+    loads.push_back(bucket_load_[bucket]);
   }
   std::vector<hot_key> keys;
   const auto add_key = [&](uint64_t key_hash, int bucket, double load,
@@ -59,7 +59,7 @@
       keys.push_back(hot_key{key_hash, bucket_position->second, load, owner});
     }
   };
-  const std::vector<frequent_key> top_keys = hot_.Top(kMaxKeys);
+  const std::vector<frequent_key> top_keys = hot_keys_.Top(kMaxSeparateKeys);
   for (const placed_key& placed : state.keys) {
     const auto measured = std::find_if(top_keys.begin(), top_keys.end(),
                                        [&](const frequent_key& key) {
@@ -70,7 +70,7 @@
     add_key(placed.key_hash, placed.bucket, load, placed.owner);
   }
   for (const frequent_key& key : top_keys) {
-    if (keys.size() < kMaxKeys) {
+    if (keys.size() < kMaxSeparateKeys) {
       add_key(key.key_hash, key.bucket, key.count - key.error, kNoTarget);
     }
   }
--- a/src/core/range_steward.cc
+++ b/src/core/range_steward.cc
@@ -40,9 +40,9 @@
       owners_(timing) {}
 
 void range_steward::Configure(const deployment_config& config,
-                              const target_notices& target_status,
+                              const target_status_source& target_status,
                               time_point now) {
-  const range_parts parts = ParseRangeName(range_).value();
+  const range_name_parts parts = ParseRangeName(range_).value();
   const service_config* service = config.FindService(parts.service);
   if (service == nullptr) {
     return;
@@ -65,7 +65,7 @@
   owner_index_ = owners_.SetTargets(TargetNames(targets_));
   draining_.clear();
   for (const target_config& target : targets_) {
-    draining_.push_back(target_status.draining(target.name));
+    draining_.push_back(target_status.is_draining(target.name));
   }
   if (keyed && !balance_) {
     balance_.emplace(service_->buckets);
@@ -76,7 +76,7 @@
   const auto zone_number = static_cast<int>(zone - config.zones.begin());
   first_slot_number_ = service_->buckets + zone_number * kMaxKeySlotsPerRange;
   allow_rebalance_ = config.PresetInForce().allow_rebalance;
-  homed_ = keyed ? BucketsOfZone(*service_, zone_) : std::vector<int>{};
+  homed_buckets_ = keyed ? BucketsOfZone(*service_, zone_) : std::vector<int>{};
 
   std::vector<organisation_rule> rules;
   for (const organisation_config& organisation : config.organisations) {
@@ -96,9 +96,9 @@
                                 bool handed_over, time_point now,
                                 steward_output& out) {
   epoch_ = epoch;
-  tenure_began_ = now;
+  tenure_began_at_ = now;
   active_ = true;
-  stopped_taking_ = false;
+  stopped_accepting_ = false;
   const std::vector<uint64_t> waiters =
       actions_.ResetTenure(action_tenure{range_, epoch, now, {}});
   answer_action unknown;
@@ -107,7 +107,7 @@
   unknown.reason = "the range changed hands while the action was under way";
   unknown.remedy = "look up whether it took effect before a new one is sent";
   AnswerWaiters(waiters, unknown, "", out);
-  const std::string imported = std::exchange(handed_actions_, "");
+  const std::string imported = std::exchange(imported_actions_, "");
   if (handed_over && !imported.empty()) {
     // If the text cannot be parsed, the table stays empty. That is safe: the
     // outcome of identifiers of the predecessor's epoch is then unknown.
@@ -117,8 +117,8 @@
   const bool keyed = service_->placement == placement_kind::kKeyed;
   // Separately owned keys return to their buckets: their former owners have no
   // valid lease any more, or get a grant without them before anything else.
-  ForgetKeys();
-  owners_.Begin(keyed ? service_->buckets : 0);
+  ClearKeySlots();
+  owners_.BeginTenure(keyed ? service_->buckets : 0);
   for (const auto& [target, buckets] : newest_map.buckets) {
     const std::string& name = target;
     const auto found =
@@ -129,13 +129,14 @@
     }
     const int owner = owner_index_[found - targets_.begin()];
     for (const int bucket : buckets) {
-      if (!std::binary_search(homed_.begin(), homed_.end(), bucket)) {
+      if (!std::binary_search(homed_buckets_.begin(), homed_buckets_.end(),
+                              bucket)) {
         continue;
       }
       if (handed_over) {
-        owners_.Inherit(bucket, owner, now);
+        owners_.InheritLease(bucket, owner, now);
       } else {
-        owners_.Want(bucket, owner);
+        owners_.SetDesiredOwner(bucket, owner);
       }
     }
   }
@@ -151,7 +152,7 @@
   return actions_.Export(now, kMaxHandoverBodyBytes);
 }
 
-void range_steward::ContinueIn(uint64_t epoch) {
+void range_steward::ContinueInEpoch(uint64_t epoch) {
   epoch_ = epoch;
   map_.epoch = epoch;
   actions_.ContinueIn(epoch);
@@ -166,31 +167,31 @@
   active_ = false;
   std::vector<dispatch_decision> decisions;
   dispatcher_->Suspend(now, decisions);
-  Carry(decisions, now, out);
+  ApplyDecisions(decisions, now, out);
 }
 
-void range_steward::StopTaking(time_point now, steward_output& out) {
-  stopped_taking_ = true;
+void range_steward::StopAccepting(time_point now, steward_output& out) {
+  stopped_accepting_ = true;
   std::vector<dispatch_decision> decisions;
   dispatcher_->Suspend(now, decisions);
-  Carry(decisions, now, out);
+  ApplyDecisions(decisions, now, out);
 }
 
 void range_steward::Step(time_point now, time_point acting_until,
                          steward_output& out) {
   acting_until_ = acting_until;
-  dispatcher_->SetAuthority(acting_until);
-  UpdateUsability(now);
-  if (balance_ && balance_->Due(now) && active_) {
+  dispatcher_->SetAuthorityEnd(acting_until);
+  UpdateTargetUsability(now);
+  if (balance_ && balance_->DecayIfDue(now) && active_) {
     PlanOwners(now);
   }
-  StepKeys();
+  AdvanceKeyMoves();
   ownership_step step;
   owners_.Step(
-      now, acting_until, [this](int bucket) { return BucketRunning(bucket); },
+      now, acting_until, [this](int bucket) { return IsBucketRunning(bucket); },
       step);
   ApplyOwnerChanges(step);
-  for (const grant_order& order : step.orders) {
+  for (const lease_grant& order : step.grants) {
     const target_config* target = TargetAt(order.target);
     if (target == nullptr) {
       continue;
@@ -198,7 +199,7 @@
     std::vector<int> numbers;
     numbers.reserve(order.buckets.size());
     for (const int bucket : order.buckets) {
-      numbers.push_back(OuterNumber(bucket));
+      numbers.push_back(ExternalBucketNumber(bucket));
     }
     out.actions.push_back(
         grant_action{range_, target->name, target->address, epoch_, order.seq,
@@ -207,7 +208,7 @@
   }
   std::vector<dispatch_decision> decisions;
   dispatcher_->Tick(now, decisions);
-  Carry(decisions, now, out);
+  ApplyDecisions(decisions, now, out);
   actions_.Expire(now);
 }
 
@@ -234,10 +235,10 @@
   }
 }
 
-std::map<std::string, std::vector<int>> range_steward::BucketsBy(
+std::map<std::string, std::vector<int>> range_steward::BucketsByTarget(
     int (bucket_owners::*target_of)(int bucket) const) const {
   std::map<std::string, std::vector<int>> buckets;
-  for (const int bucket : homed_) {
+  for (const int bucket : homed_buckets_) {
     const int index = (owners_.*target_of)(bucket);
     const target_config* target = index < 0 ? nullptr : TargetAt(index);
     if (target != nullptr) {
@@ -248,24 +249,24 @@
 }
 
 void range_steward::RebuildMap() {
-  auto buckets = BucketsBy(&bucket_owners::Owner);
+  auto buckets = BucketsByTarget(&bucket_owners::Owner);
   if (buckets != map_.buckets) {
     map_.buckets = std::move(buckets);
     ++map_.seq;
   }
 }
 
-range_map range_steward::HeldMap() const {
+range_map range_steward::HolderMap() const {
   return range_map{
-      map_.epoch, map_.seq + 1, BucketsBy(&bucket_owners::Holder), {}};
+      map_.epoch, map_.seq + 1, BucketsByTarget(&bucket_owners::Holder), {}};
 }
 
-int range_steward::OuterNumber(int bucket) const {
+int range_steward::ExternalBucketNumber(int bucket) const {
   const int buckets = service_->buckets;
   return bucket < buckets ? bucket : first_slot_number_ + bucket - buckets;
 }
 
-bool range_steward::OnGrant(const grant_ended& ended, time_point now) {
+bool range_steward::OnGrantEnded(const grant_ended& ended, time_point now) {
   for (size_t i = 0; i < targets_.size(); ++i) {
     if (targets_[i].name != ended.target) {
       continue;
@@ -289,16 +290,16 @@
   return true;
 }
 
-void range_steward::UpdateUsability(time_point now) {
+void range_steward::UpdateTargetUsability(time_point now) {
   bool changed = false;
   // At the start of a tenure, no target has answered yet. Treating the targets
   // as down would refuse every request until they do. Pooled services need no
   // lease, so their targets are tried at once.
   const bool in_grace_period = service_->placement == placement_kind::kPooled &&
-                               now < tenure_began_ + kTargetGracePeriod;
+                               now < tenure_began_at_ + kTargetGracePeriod;
   for (size_t i = 0; i < targets_.size(); ++i) {
     const target_index index = dispatcher_->FindTarget(targets_[i].name);
-    const bool leased = owners_.Leased(owner_index_[i], now);
+    const bool leased = owners_.HasValidLease(owner_index_[i], now);
     const target_usability previous = dispatcher_->Target(index).usability;
     target_usability usability = target_usability::kUsable;
     if (draining_[i]) {
@@ -316,10 +317,10 @@
   // would stay unserved.
   std::vector<bool> answering;
   for (const int target : owner_index_) {
-    answering.push_back(owners_.Answering(target, now));
+    answering.push_back(owners_.AnsweredRecently(target, now));
   }
-  if (answering != answering_) {
-    answering_ = std::move(answering);
+  if (answering != was_answering_) {
+    was_answering_ = std::move(answering);
     changed = true;
   }
   if (changed) {
@@ -328,7 +329,7 @@
 }
 
 void range_steward::PlanOwners(time_point now) {
-  if (homed_.empty() || targets_.empty()) {
+  if (homed_buckets_.empty() || targets_.empty()) {
     return;
   }
   std::map<int, target_index> position;
@@ -336,25 +337,25 @@
   for (size_t i = 0; i < targets_.size(); ++i) {
     position[owner_index_[i]] = static_cast<target_index>(i);
     targets.push_back(placement_target{
-        !draining_[i] && owners_.Answering(owner_index_[i], now), 1});
+        !draining_[i] && owners_.AnsweredRecently(owner_index_[i], now), 1});
   }
   const auto position_of = [&](int owner) {
     const auto found = position.find(owner);
     return found == position.end() ? kNoTarget : found->second;
   };
   std::vector<target_index> owners;
-  owners.reserve(homed_.size());
-  for (const int bucket : homed_) {
-    owners.push_back(position_of(owners_.Wanted(bucket)));
+  owners.reserve(homed_buckets_.size());
+  for (const int bucket : homed_buckets_) {
+    owners.push_back(position_of(owners_.DesiredOwner(bucket)));
   }
   std::vector<placed_key> keys;
   for (const auto& [key_hash, key] : keys_) {
-    const int wanted =
-        key.starting >= 0 ? key.starting : owners_.Wanted(key.slot);
+    const int wanted = key.pending_owner >= 0 ? key.pending_owner
+                                              : owners_.DesiredOwner(key.slot);
     keys.push_back(placed_key{key_hash, key.bucket, position_of(wanted)});
   }
   balance_state state;
-  state.buckets = homed_;
+  state.buckets = homed_buckets_;
   state.owners = owners;
   state.targets = targets;
   state.keys = keys;
@@ -364,7 +365,7 @@
     if (move.single_key) {
       MoveKey(move);
     } else {
-      owners_.Want(move.bucket, owner_index_[move.to]);
+      owners_.SetDesiredOwner(move.bucket, owner_index_[move.to]);
     }
   }
 }
@@ -374,19 +375,19 @@
   const auto found = keys_.find(move.key_hash);
   if (found == keys_.end()) {
     const bool full =
-        free_slots_.empty() &&
+        free_key_slots_.empty() &&
         owners_.size() - service_->buckets >= kMaxKeySlotsPerRange;
-    if (new_owner == owners_.Wanted(move.bucket) || full) {
+    if (new_owner == owners_.DesiredOwner(move.bucket) || full) {
       return;
     }
     key_slot key;
     key.bucket = move.bucket;
-    key.starting = new_owner;
-    if (free_slots_.empty()) {
+    key.pending_owner = new_owner;
+    if (free_key_slots_.empty()) {
       key.slot = owners_.AddKeySlot();
     } else {
-      key.slot = free_slots_.back();
-      free_slots_.pop_back();
+      key.slot = free_key_slots_.back();
+      free_key_slots_.pop_back();
     }
     keys_.emplace(move.key_hash, key);
     // No attempt of the key starts until its new owner has been granted it.
@@ -394,25 +395,26 @@
     return;
   }
   key_slot& key = found->second;
-  key.returning = new_owner == owners_.Wanted(key.bucket);
-  key.starting = -1;
-  owners_.Want(key.slot, key.returning ? -1 : new_owner);
+  key.returning_to_bucket = new_owner == owners_.DesiredOwner(key.bucket);
+  key.pending_owner = -1;
+  owners_.SetDesiredOwner(key.slot, key.returning_to_bucket ? -1 : new_owner);
 }
 
-void range_steward::StepKeys() {
+void range_steward::AdvanceKeyMoves() {
   for (auto it = keys_.begin(); it != keys_.end();) {
     key_slot& key = it->second;
     const auto running = running_by_key_.find(it->first);
     const bool is_running = running != running_by_key_.end();
     // Attempts at the bucket's owner must end before another target gets the
     // key. Otherwise two targets would run requests of the key at once.
-    if (key.starting >= 0 && !is_running) {
-      owners_.Want(key.slot, key.starting);
-      key.starting = -1;
+    if (key.pending_owner >= 0 && !is_running) {
+      owners_.SetDesiredOwner(key.slot, key.pending_owner);
+      key.pending_owner = -1;
     }
-    if (key.returning && owners_.Holder(key.slot) < 0 && !is_running) {
+    if (key.returning_to_bucket && owners_.Holder(key.slot) < 0 &&
+        !is_running) {
       dispatcher_->ClearKeyOwner(it->first);
-      free_slots_.push_back(key.slot);
+      free_key_slots_.push_back(key.slot);
       it = keys_.erase(it);
       continue;
     }
@@ -420,12 +422,12 @@
   }
 }
 
-void range_steward::ForgetKeys() {
+void range_steward::ClearKeySlots() {
   for (const auto& [key_hash, key] : keys_) {
     dispatcher_->ClearKeyOwner(key_hash);
   }
   keys_.clear();
-  free_slots_.clear();
+  free_key_slots_.clear();
 }
 
 const target_config* range_steward::TargetAt(int owners_index) const {
@@ -437,24 +439,24 @@
   return nullptr;
 }
 
-bool range_steward::BucketRunning(int bucket) const {
+bool range_steward::IsBucketRunning(int bucket) const {
   const auto found = running_by_bucket_.find(bucket);
   return found != running_by_bucket_.end() && found->second > 0;
 }
 
-bool range_steward::TargetLeased(std::string_view target,
-                                 time_point now) const {
+bool range_steward::IsTargetLeased(std::string_view target,
+                                   time_point now) const {
   for (size_t i = 0; i < targets_.size(); ++i) {
     if (targets_[i].name == target) {
-      return owners_.Leased(owner_index_[i], now);
+      return owners_.HasValidLease(owner_index_[i], now);
     }
   }
   return false;
 }
 
-int range_steward::UnownedBuckets() const {
+int range_steward::UnownedBucketCount() const {
   return static_cast<int>(
-      std::count_if(homed_.begin(), homed_.end(),
+      std::count_if(homed_buckets_.begin(), homed_buckets_.end(),
                     [this](int bucket) { return owners_.Owner(bucket) < 0; }));
 }
 
--- a/src/core/range_steward_requests.cc
+++ b/src/core/range_steward_requests.cc
@@ -142,7 +142,7 @@
 void range_steward::Submit(const steward_request& request, time_point now,
                            steward_output& out) {
   if (request.mint) {
-    Mint(request, out);
+    AnswerMintRequest(request, out);
     return;
   }
   live_request live;
@@ -181,8 +181,8 @@
   const uint64_t content_hash =
       HashParts({service_->name, request.key}, request.body_hash);
   const action_decision decision =
-      actions_.Begin(now, action_send{*live.action, request.organisation,
-                                      content_hash, request.request_id});
+      actions_.Begin(now, action_request{*live.action, request.organisation,
+                                         content_hash, request.request_id});
   switch (decision.step) {
     case action_step::kRun:
       live.action_attempt = decision.attempt;
@@ -196,7 +196,7 @@
       break;
   }
   answer_action answer = DescribeAction(request.request_id, decision);
-  answer.next_action = NextAction(request.organisation);
+  answer.next_action = NextActionId(request.organisation);
   out.results.push_back(request_result{std::move(answer), false});
 }
 
@@ -216,21 +216,21 @@
   requests_.emplace(request.request_id, std::move(live));
   std::vector<dispatch_decision> decisions;
   dispatcher_->Submit(to_dispatch, now, decisions);
-  Carry(decisions, now, out);
+  ApplyDecisions(decisions, now, out);
 }
 
-void range_steward::Carry(std::vector<dispatch_decision>& decisions,
-                          time_point now, steward_output& out) {
+void range_steward::ApplyDecisions(std::vector<dispatch_decision>& decisions,
+                                   time_point now, steward_output& out) {
   for (const dispatch_decision& decision : decisions) {
     if (const auto* start = std::get_if<start_attempt>(&decision)) {
-      Start(*start, now, out);
+      StartAttempt(*start, now, out);
     } else if (const auto* cancel = std::get_if<cancel_attempt>(&decision)) {
       const auto found = attempt_ids_.find(cancel->attempt_id);
       if (found != attempt_ids_.end()) {
         out.actions.push_back(cancel_attempt_action{found->second});
       }
     } else if (const auto* finish = std::get_if<finish_request>(&decision)) {
-      Finish(*finish, now, out);
+      FinishRequest(*finish, now, out);
     } else if (const auto* suspect = std::get_if<target_suspected>(&decision)) {
       out.actions.push_back(
           log_action{event_id::kTargetSuspected,
@@ -240,8 +240,8 @@
   }
 }
 
-void range_steward::Start(const start_attempt& start, time_point now,
-                          steward_output& out) {
+void range_steward::StartAttempt(const start_attempt& start, time_point now,
+                                 steward_output& out) {
   const live_request& live = requests_.at(start.request_id);
   const std::string& name = dispatcher_->Target(start.target).name;
   const auto target =
@@ -260,7 +260,8 @@
   attempt.organisation = live.request.organisation;
   if (live.action) {
     attempt.action = live.action->text;
-    actions_.Started(attempt.organisation, attempt.action, live.action_attempt);
+    actions_.RecordStart(attempt.organisation, attempt.action,
+                         live.action_attempt);
   }
   const uint64_t id = ids_.Next();
   attempt_action action;
@@ -270,7 +271,8 @@
   action.address = target->address;
   action.range = range_;
   action.epoch = epoch_;
-  action.bucket = attempt.bucket < 0 ? kNoBucket : OuterNumber(attempt.bucket);
+  action.bucket =
+      attempt.bucket < 0 ? kNoBucket : ExternalBucketNumber(attempt.bucket);
   action.key = live.request.key;
   action.not_after_us = acting_until_.time_since_epoch().count();
   time_point run_until = start.deadline;
@@ -279,8 +281,8 @@
     // after the target's lease. If the link to the target failed now, an
     // attempt that outlasts the lease would overlap with attempts of the same
     // key at the next owner.
-    run_until = std::min(run_until,
-                         owners_.LeaseBound(attempt.target) - kDeliveryMargin);
+    run_until = std::min(
+        run_until, owners_.LatestLeaseEnd(attempt.target) - kDeliveryMargin);
   }
   action.time_left_us = std::max<int64_t>(0, (run_until - now).count());
   const auto clock = owners_.TargetClock(attempt.target, now);
@@ -294,8 +296,8 @@
   out.actions.push_back(std::move(action));
 }
 
-bool range_steward::OnAttempt(const attempt_ended& ended, time_point now,
-                              steward_output& out) {
+bool range_steward::OnAttemptEnded(const attempt_ended& ended, time_point now,
+                                   steward_output& out) {
   const auto found = attempts_.find(ended.attempt_id);
   if (found == attempts_.end()) {
     return false;
@@ -311,12 +313,12 @@
   std::vector<dispatch_decision> decisions;
   const std::optional<uint64_t> answered =
       dispatcher_->AttemptEnded(attempt.dispatch_id, ended.end, now, decisions);
-  if (ended.end == attempt_end::kAnswered && !attempt.action.empty()) {
+  if (ended.end == attempt_outcome::kAnswered && !attempt.action.empty()) {
     // A late answer is recorded even if the request has already finished: the
     // action's outcome changes from unknown to done for later requests.
     const std::vector<uint64_t> waiters =
-        actions_.Ended(now, attempt.organisation, attempt.action,
-                       action_outcome::kDone, ToStoredAnswer(ended));
+        actions_.RecordEnd(now, attempt.organisation, attempt.action,
+                           action_outcome::kDone, ToStoredAnswer(ended));
     answer_action answer;
     answer.outcome = request_outcome::kDone;
     answer.status = ended.status;
@@ -330,15 +332,16 @@
       requests_.erase(*answered);
     }
   } else if (answered) {
-    AnswerDone(*answered, attempt, ended, out);
+    AnswerFromAttempt(*answered, attempt, ended, out);
   }
-  Carry(decisions, now, out);
+  ApplyDecisions(decisions, now, out);
   return true;
 }
 
-void range_steward::AnswerDone(uint64_t request_id, const live_attempt& attempt,
-                               const attempt_ended& ended,
-                               steward_output& out) {
+void range_steward::AnswerFromAttempt(uint64_t request_id,
+                                      const live_attempt& attempt,
+                                      const attempt_ended& ended,
+                                      steward_output& out) {
   answer_action answer;
   answer.request_id = request_id;
   answer.outcome = request_outcome::kDone;
@@ -351,8 +354,8 @@
   out.results.push_back(request_result{std::move(answer), false});
 }
 
-void range_steward::Finish(const finish_request& finish, time_point now,
-                           steward_output& out) {
+void range_steward::FinishRequest(const finish_request& finish, time_point now,
+                                  steward_output& out) {
   const auto found = requests_.find(finish.request_id);
   if (found == requests_.end()) {
     return;
@@ -375,13 +378,13 @@
   answer_action answer = DescribeFinish(finish);
   std::vector<uint64_t> waiters;
   if (finish.outcome == dispatch_outcome::kNotRun) {
-    const auto report = actions_.NotRun(now, organisation, live.action->text,
-                                        live.action_attempt);
+    const auto report = actions_.RecordNotRun(
+        now, organisation, live.action->text, live.action_attempt);
     answer.outcome = ToRequestOutcome(report.outcome);
     waiters = report.waiters;
   } else {
-    waiters = actions_.Ended(now, organisation, live.action->text,
-                             action_outcome::kUnknown, nullptr);
+    waiters = actions_.RecordEnd(now, organisation, live.action->text,
+                                 action_outcome::kUnknown, nullptr);
   }
   if (finish.reason == finish_reason::kNoAuthority &&
       answer.outcome == request_outcome::kNotRun) {
@@ -403,51 +406,52 @@
     request_result waiter_result{answer, false};
     waiter_result.answer.request_id = waiter;
     if (!organisation.empty()) {
-      waiter_result.answer.next_action = NextAction(organisation);
+      waiter_result.answer.next_action = NextActionId(organisation);
     }
     requests_.erase(waiter);
     out.results.push_back(std::move(waiter_result));
   }
 }
 
-void range_steward::CallerGone(uint64_t request_id, time_point now,
-                               steward_output& out) {
+void range_steward::OnCallerGone(uint64_t request_id, time_point now,
+                                 steward_output& out) {
   const auto found = requests_.find(request_id);
   if (found == requests_.end()) {
     return;
   }
   const live_request live = found->second;
   if (live.action) {
-    const give_up_step step = actions_.GiveUp(live.request.organisation,
-                                              live.action->text, request_id);
-    if (step != give_up_step::kCancel) {
+    const cancel_wait_step step = actions_.CancelWait(
+        live.request.organisation, live.action->text, request_id);
+    if (step != cancel_wait_step::kCancel) {
       return;
     }
   }
   std::vector<dispatch_decision> decisions;
   dispatcher_->Cancel(request_id, now, decisions);
-  Carry(decisions, now, out);
+  ApplyDecisions(decisions, now, out);
 }
 
-void range_steward::Mint(const steward_request& request, steward_output& out) {
+void range_steward::AnswerMintRequest(const steward_request& request,
+                                      steward_output& out) {
   answer_action answer;
   answer.request_id = request.request_id;
   answer.outcome = request_outcome::kDone;
   answer.status = kHttpOk;
-  for (int i = 0; i < action_pool::kBatch; ++i) {
+  for (int i = 0; i < action_pool::kMintBatchSize; ++i) {
     answer.next_action += i == 0 ? "" : ",";
-    answer.next_action += NextAction(request.organisation);
+    answer.next_action += NextActionId(request.organisation);
   }
   out.results.push_back(request_result{std::move(answer), false});
 }
 
-std::string range_steward::NextAction(std::string_view organisation) {
+std::string range_steward::NextActionId(std::string_view organisation) {
   if (!service_->at_most_once) {
     return "";
   }
   const result<std::string> minted =
       MintActionId(action_origin{std::string(organisation), range_, epoch_,
-                                 actions_.Reserve(1)},
+                                 actions_.ReserveSequences(1)},
                    secret_);
   return minted ? minted.value() : "";
 }
--- a/src/core/range_table.cc
+++ b/src/core/range_table.cc
@@ -13,7 +13,8 @@
 }  // namespace
 
 void range_table::Configure(const deployment_config& config,
-                            const target_notices& notices, time_point now) {
+                            const target_status_source& notices,
+                            time_point now) {
   std::set<std::string> configured;
   for (size_t s = 0; s < config.services.size(); ++s) {
     const service_config& service = config.services[s];
@@ -24,16 +25,16 @@
     for (const std::string& zone : zones) {
       const std::string name = RangeName(service.name, zone);
       configured.insert(name);
-      range_node& range = ranges_[name];
+      range_state& range = ranges_[name];
       range.name = name;
       range.service = service.name;
       range.zone = zone;
-      range.offset = s;
+      range.roster_offset = s;
       if (zone != context_.zone) {
         continue;
       }
       if (range.steward == nullptr) {
-        range.first_wanted = now;
+        range.configured_at = now;
         range.steward = std::make_unique<range_steward>(
             name, context_.timing.lease, context_.secret, context_.ids);
         range.authority = std::make_unique<range_authority>(
@@ -52,19 +53,19 @@
                                 });
 }
 
-range_node* range_table::Find(std::string_view name) {
+range_state* range_table::Find(std::string_view name) {
   const auto found = ranges_.find(name);
   return found == ranges_.end() ? nullptr : &found->second;
 }
 
-uint64_t range_table::FirstEpoch(std::string_view name) const {
+uint64_t range_table::FirstRosterEpoch(std::string_view name) const {
   const auto found = ranges_.find(name);
   const bool has_record = found != ranges_.end() && found->second.record;
-  return has_record ? found->second.record->order.front().epoch : 0;
+  return has_record ? found->second.record->roster.front().epoch : 0;
 }
 
 status range_table::OnRecord(const object_change& change, time_point now) {
-  range_node* range =
+  range_state* range =
       Find(std::string_view(change.key).substr(kRangeKeyPrefix.size()));
   if (range == nullptr || change.deleted) {
     return OkStatus();
@@ -102,17 +103,17 @@
     }
     TickAuthority(range, now, out);
     TickRecord(range, now, out.actions);
-    TickMap(range, now);
-    TickPoison(range, now);
+    AnnounceMap(range, now);
+    AnnouncePoisonMarks(range, now);
   }
 }
 
-void range_table::TickAuthority(range_node& node, time_point now,
+void range_table::TickAuthority(range_state& node, time_point now,
                                 steward_output& out) {
-  std::vector<addressed_ask> asks;
+  std::vector<addressed_promise_request> asks;
   node.authority->Tick(now, context_.ledger, asks);
-  for (const addressed_ask& ask : asks) {
-    context_.outbox[ask.to.host].asks.push_back(ask.ask);
+  for (const addressed_promise_request& ask : asks) {
+    context_.outbox[ask.witness.host].asks.push_back(ask.request);
   }
   const time_point acting_until = node.authority->ActingUntil() - kActingMargin;
   const bool acting = now < acting_until;
@@ -121,7 +122,7 @@
     if (node.steward->epoch() == node.authority->epoch()) {
       node.steward->Resume();
     } else if (node.renumbered) {
-      node.steward->ContinueIn(node.authority->epoch());
+      node.steward->ContinueInEpoch(node.authority->epoch());
       node.steward->Resume();
     } else {
       node.steward->BeginTenure(node.authority->epoch(), node.newest_map,
@@ -149,17 +150,17 @@
   }
 }
 
-void range_table::TickMap(range_node& node, time_point now) {
-  if (!node.acting || now < node.next_notice) {
+void range_table::AnnounceMap(range_state& node, time_point now) {
+  if (!node.acting || now < node.next_map_notice) {
     return;
   }
   const range_map& map = node.steward->map();
-  if (map.seq == node.noticed_map_seq && map.epoch == node.newest_map.epoch) {
+  if (map.seq == node.announced_map_seq && map.epoch == node.newest_map.epoch) {
     return;
   }
   node.newest_map = map;
-  node.noticed_map_seq = map.seq;
-  node.next_notice = now + context_.timing.map_notice;
+  node.announced_map_seq = map.seq;
+  node.next_map_notice = now + context_.timing.map_notice;
   for (const member& host_run : node.record->Members()) {
     if (host_run.host != context_.self.host) {
       context_.outbox[host_run.host].maps.push_back(
@@ -172,12 +173,12 @@
 // of the service, or to the next steward of this range. Without shared counts
 // it would crash two targets at each of them, as the other stewards would only
 // see that targets were lost.
-void range_table::TickPoison(range_node& node, time_point now) {
+void range_table::AnnouncePoisonMarks(range_state& node, time_point now) {
   if (node.steward == nullptr) {
     return;
   }
   const std::vector<poison_mark> new_marks =
-      node.steward->Dispatcher().TakePoisonNews(now);
+      node.steward->Dispatcher().TakeNewPoisonMarks(now);
   if (new_marks.empty()) {
     return;
   }
@@ -198,14 +199,15 @@
   }
 }
 
-roster_facts range_table::Facts(const range_node& node, time_point now) const {
+roster_facts range_table::CollectRosterFacts(const range_state& node,
+                                             time_point now) const {
   const duration silence = context_.timing.peer_silence;
   roster_facts facts;
   facts.self = context_.self;
   for (const std::string& name :
        context_.directory.HostsOfZone(context_.zone)) {
     const bool is_self = name == context_.self.host;
-    if (is_self || context_.directory.Alive(name, now, silence / 2)) {
+    if (is_self || context_.directory.IsAlive(name, now, silence / 2)) {
       const uint64_t life =
           is_self ? context_.self.life : context_.directory.LatestLife(name);
       facts.candidates.push_back(member{name, life});
@@ -215,24 +217,24 @@
     return host == context_.self.host ? context_.self.life
                                       : context_.directory.LatestLife(host);
   };
-  facts.gone = [this, &node, now, silence](const member& host_run) {
+  facts.is_unavailable = [this, &node, now, silence](const member& host_run) {
     const host_entry* entry = context_.directory.Find(host_run.host);
     if (entry != nullptr && entry->leaving) {
       return true;
     }
-    const auto last_heard = node.authority->LastHeard(host_run);
+    const auto last_heard = node.authority->LastAnswerTime(host_run);
     const time_point since = last_heard
                                  ? std::max(*last_heard, node.acting_since)
                                  : node.acting_since;
     return now >= since + silence &&
-           !context_.directory.Alive(host_run.host, now, silence);
+           !context_.directory.IsAlive(host_run.host, now, silence);
   };
   facts.all_saw_record = node.authority->AllSawRecord();
   facts.outranked = node.authority->outranked();
   return facts;
 }
 
-void range_table::TickRecord(range_node& node, time_point now,
+void range_table::TickRecord(range_state& node, time_point now,
                              action_list& out) {
   // The result depends on silences of a second and more, so it need not be
   // computed in each tick. Doing so for every range cost more than the rest of
@@ -251,15 +253,15 @@
   if (!node.record) {
     const auto* stored_object =
         context_.sync.cache().Find(std::string(kRangeKeyPrefix) + node.name);
-    if (stored_object == nullptr && now >= node.first_wanted + write_delay) {
-      const roster_facts facts = Facts(node, now);
-      if (auto initial = FirstRecord(facts.candidates, node.offset)) {
+    if (stored_object == nullptr && now >= node.configured_at + write_delay) {
+      const roster_facts facts = CollectRosterFacts(node, now);
+      if (auto initial = InitialRecord(facts.candidates, node.roster_offset)) {
         WriteRecord(node, std::move(*initial), now, out);
       }
     }
     return;
   }
-  const roster_facts facts = Facts(node, now);
+  const roster_facts facts = CollectRosterFacts(node, now);
   if (node.acting) {
     if (auto repaired = RepairedRecord(*node.record, facts)) {
       repaired->map = node.steward->map();
@@ -274,68 +276,70 @@
     }
     return;
   }
-  if (now < node.first_wanted + write_delay) {
+  if (now < node.configured_at + write_delay) {
     return;
   }
   if (auto reset = ResetRecord(*node.record, facts)) {
     WriteRecord(node, std::move(*reset), now, out);
-  } else if (node.authority->Blocked(now, context_.ledger)) {
+  } else if (node.authority->IsBlocked(now, context_.ledger)) {
     if (auto renumbered = RenumberedRecord(*node.record, facts)) {
       WriteRecord(node, std::move(*renumbered), now, out);
     }
   }
 }
 
-void range_table::WriteRecord(range_node& node, range_record record,
+void range_table::WriteRecord(range_state& node, range_record record,
                               time_point now, action_list& out) {
-  record.mark = context_.self.host + "/" + std::to_string(context_.self.life) +
-                "/" + std::to_string(++marks_);
+  record.write_id = context_.self.host + "/" +
+                    std::to_string(context_.self.life) + "/" +
+                    std::to_string(++write_count_);
   if (context_.sync.Write(std::string(kRangeKeyPrefix) + node.name,
                           FormatRangeRecord(record), now, out)) {
     node.next_record_write = now + context_.timing.map_record;
   }
 }
 
-void range_table::OnAsk(const member& from, const promise_ask& ask,
-                        time_point now) {
+void range_table::OnPromiseAsk(const member& from, const promise_request& ask,
+                               time_point now) {
   context_.outbox[from.host].answers.push_back(
-      context_.ledger.Answer(from, ask, now));
+      context_.ledger.AnswerRequest(from, ask, now));
 }
 
-void range_table::OnAnswer(const member& from, const promise_answer& answer,
-                           time_point now) {
-  range_node* range = Find(answer.range);
+void range_table::OnPromiseAnswer(const member& from,
+                                  const promise_answer& answer,
+                                  time_point now) {
+  range_state* range = Find(answer.range);
   if (range != nullptr && range->authority != nullptr) {
     range->authority->OnAnswer(from, answer, now);
   }
 }
 
 void range_table::OnRelease(const member& from, const range_release& release) {
-  range_node* range = Find(release.range);
+  range_state* range = Find(release.range);
   if (range == nullptr || range->authority == nullptr) {
     return;
   }
   // Leases granted by the former steward may still be valid. The map in the
   // same message tells which buckets the targets hold.
   range->handed_over = true;
-  range->authority->ClaimAfter(from, release.epoch);
+  range->authority->OnPredecessorRelease(from, release.epoch);
   range->steward->ImportActions(release.actions);
 }
 
-void range_table::OnMap(const range_map_notice& notice) {
-  range_node* range = Find(notice.range);
+void range_table::OnMapNotice(const range_map_notice& notice) {
+  range_state* range = Find(notice.range);
   if (range != nullptr && notice.map.NewerThan(range->newest_map)) {
     range->newest_map = notice.map;
   }
 }
 
-void range_table::OnGrant(const grant_ended& ended, time_point now,
-                          steward_output& out) {
-  range_node* range = Find(ended.range);
+void range_table::OnGrantEnded(const grant_ended& ended, time_point now,
+                               steward_output& out) {
+  range_state* range = Find(ended.range);
   if (range == nullptr || range->steward == nullptr) {
     return;
   }
-  if (!range->steward->OnGrant(ended, now)) {
+  if (!range->steward->OnGrantEnded(ended, now)) {
     // The target has accepted a grant from a later steward, so this host has
     // lost its authority, whatever its clock says.
     range->authority->StepDown();
@@ -349,10 +353,11 @@
   }
 }
 
-void range_table::OnAttempt(const attempt_ended& ended, time_point now,
-                            steward_output& out) {
+void range_table::OnAttemptEnded(const attempt_ended& ended, time_point now,
+                                 steward_output& out) {
   for (auto& [name, range] : ranges_) {
-    if (range.steward != nullptr && range.steward->OnAttempt(ended, now, out)) {
+    if (range.steward != nullptr &&
+        range.steward->OnAttemptEnded(ended, now, out)) {
       return;
     }
   }
@@ -362,7 +367,8 @@
   std::vector<poison_mark> marks;
   for (const auto& [name, range] : ranges_) {
     if (range.acting) {
-      const auto range_marks = range.steward->Dispatcher().ExportPoison(now);
+      const auto range_marks =
+          range.steward->Dispatcher().ExportPoisonMarks(now);
       marks.insert(marks.end(), range_marks.begin(), range_marks.end());
     }
   }
@@ -376,7 +382,7 @@
   }
   for (auto& [name, range] : ranges_) {
     if (range.steward != nullptr) {
-      range.steward->Dispatcher().ImportPoison(marks, now);
+      range.steward->Dispatcher().ImportPoisonMarks(marks, now);
     }
   }
 }
@@ -386,19 +392,19 @@
     if (!range.acting) {
       continue;
     }
-    if (range.steward->taking()) {
-      range.steward->StopTaking(now, out);
+    if (range.steward->accepting()) {
+      range.steward->StopAccepting(now, out);
     }
-    if (!range.steward->Quiet() && !force) {
+    if (!range.steward->IsIdle() && !force) {
       continue;
     }
     std::string successor;
-    for (const roster_slot& slot : range.record->order) {
-      const bool is_other_host = slot.who.host != context_.self.host;
+    for (const roster_slot& slot : range.record->roster) {
+      const bool is_other_host = slot.host_run.host != context_.self.host;
       if (successor.empty() && is_other_host &&
-          context_.directory.Alive(slot.who.host, now,
-                                   context_.timing.peer_silence / 2)) {
-        successor = slot.who.host;
+          context_.directory.IsAlive(slot.host_run.host, now,
+                                     context_.timing.peer_silence / 2)) {
+        successor = slot.host_run.host;
       }
     }
     const range_release release{name, range.authority->epoch(),
@@ -408,13 +414,14 @@
     range.acting = false;
     if (!successor.empty()) {
       peer_message& message = context_.outbox[successor];
-      message.maps.push_back(range_map_notice{name, range.steward->HeldMap()});
+      message.maps.push_back(
+          range_map_notice{name, range.steward->HolderMap()});
       message.releases.push_back(release);
     }
   }
 }
 
-bool range_table::Released() const {
+bool range_table::AllHandedOver() const {
   return std::none_of(ranges_.begin(), ranges_.end(),
                       [](const auto& entry) { return entry.second.acting; });
 }
