--- a/src/core/request_front.cc
+++ b/src/core/request_front.cc
@@ -52,7 +52,7 @@
 answer_action NotStewardAnswer(uint64_t request_id) {
   answer_action answer;
   answer.request_id = request_id;
-  answer.status = kMisdirected;
+  answer.status = kNotStewardHttpStatus;
   answer.code = "not-steward";
   answer.reason = "this host is not the range's steward";
   answer.remedy = "send it to the steward";
@@ -63,16 +63,16 @@
 
 void request_front::Configure(const deployment_config* config) {
   config_ = config;
-  by_token_.clear();
-  homes_.clear();
+  organisations_by_token_digest_.clear();
+  home_zones_.clear();
   for (const organisation_config& organisation : config->organisations) {
     for (const std::string& digest : organisation.token_digests) {
-      by_token_[digest] = &organisation;
+      organisations_by_token_digest_[digest] = &organisation;
     }
   }
   for (const service_config& service : config->services) {
     if (service.placement == placement_kind::kKeyed) {
-      homes_[service.name] = HomeZones(service);
+      home_zones_[service.name] = HomeZones(service);
     }
   }
   for (auto& [id, request] : requests_) {
@@ -82,8 +82,9 @@
 
 result<request_front::caller_context> request_front::Identify(
     std::string_view token_digest, std::string_view service) const {
-  const auto found = by_token_.find(std::string(token_digest));
-  if (found == by_token_.end()) {
+  const auto found =
+      organisations_by_token_digest_.find(std::string(token_digest));
+  if (found == organisations_by_token_digest_.end()) {
     return error{error_code::kUnauthenticated, "",
                  "the credential is missing or not known",
                  "send the organisation's token as a bearer token"};
@@ -104,8 +105,8 @@
   return caller;
 }
 
-void request_front::OnCaller(const caller_request& request, bool ready,
-                             time_point now, steward_output& out) {
+void request_front::OnCallerRequest(const caller_request& request, bool ready,
+                                    time_point now, steward_output& out) {
   if (!ready || config_ == nullptr) {
     Refuse(request.request_id,
            {error_code::kUnavailable, "",
@@ -136,8 +137,8 @@
   new_request.service = &service;
   new_request.service_name = service.name;
   new_request.key = request.key;
-  new_request.level = service.default_urgency;
-  new_request.arrived = now;
+  new_request.urgency_level = service.default_urgency;
+  new_request.arrived_at = now;
   new_request.action = request.action;
   new_request.body_hash = request.body_hash;
   if (!request.urgency.empty()) {
@@ -146,10 +147,11 @@
       Refuse(request.request_id, level.error(), duration{0}, out);
       return;
     }
-    new_request.level = level.value();
+    new_request.urgency_level = level.value();
   }
   const rule_config rule = config_->RuleFor(organisation, service.name);
-  new_request.level = std::max(new_request.level, rule.most_urgent);
+  new_request.urgency_level =
+      std::max(new_request.urgency_level, rule.most_urgent);
   if (request.deadline_us < 0 ||
       request.deadline_us > service.max_deadline.count()) {
     Refuse(request.request_id,
@@ -175,8 +177,8 @@
   Accept(std::move(new_request), now, out);
 }
 
-void request_front::OnMint(const mint_request& request, bool ready,
-                           time_point now, steward_output& out) {
+void request_front::OnMintRequest(const mint_request& request, bool ready,
+                                  time_point now, steward_output& out) {
   if (!ready || config_ == nullptr) {
     Refuse(request.request_id,
            {error_code::kUnavailable, "",
@@ -203,12 +205,12 @@
   new_request.organisation = caller.value().organisation->name;
   new_request.service = caller.value().service;
   new_request.service_name = new_request.service->name;
-  new_request.arrived = now;
+  new_request.arrived_at = now;
   new_request.deadline = now + new_request.service->default_deadline;
-  new_request.mint = true;
+  new_request.is_mint = true;
   new_request.range = actions_.NextRange(*new_request.service);
   if (const auto pooled_action =
-          TakePooled(new_request.organisation, new_request.range)) {
+          TakePooledAction(new_request.organisation, new_request.range)) {
     answer_action answer;
     answer.request_id = new_request.request_id;
     answer.outcome = request_outcome::kDone;
@@ -228,11 +230,11 @@
     return;
   }
   request.range = range.value();
-  request.pinned = request.service->placement == placement_kind::kKeyed ||
-                   !request.action.empty();
-  request.give_up =
+  request.range_pinned = request.service->placement == placement_kind::kKeyed ||
+                         !request.action.empty();
+  request.give_up_at =
       std::min(request.deadline, now + context_.timing.route_patience);
-  request.next_try = now;
+  request.next_attempt_at = now;
   front_request& stored_request =
       requests_.insert_or_assign(request.request_id, std::move(request))
           .first->second;
@@ -246,18 +248,18 @@
     return error{error_code::kUnavailable, service.name,
                  "the service has no targets", "ask the operator"};
   }
-  if (request.mint) {
-    const range_node* node = ranges_.Find(request.range);
+  if (request.is_mint) {
+    const range_state* node = ranges_.Find(request.range);
     const bool reachable =
-        node != nullptr && request.arrived >= node->avoid_until;
-    return reachable ? request.range : ChoosePooled(request);
+        node != nullptr && request.arrived_at >= node->unreachable_until;
+    return reachable ? request.range : ChoosePooledRange(request);
   }
   if (service.placement == placement_kind::kKeyed) {
     const int bucket = BucketOf(KeyHash(request.key), service.buckets);
-    return RangeName(service.name, homes_.at(service.name)[bucket]);
+    return RangeName(service.name, home_zones_.at(service.name)[bucket]);
   }
   if (request.action.empty()) {
-    return ChoosePooled(request);
+    return ChoosePooledRange(request);
   }
   const result<action_id> id =
       ParseActionId(request.action, request.organisation, context_.secret);
@@ -281,7 +283,8 @@
   return RangeName(service.name, service.targets[target].zone);
 }
 
-std::string request_front::ChoosePooled(const front_request& request) const {
+std::string request_front::ChoosePooledRange(
+    const front_request& request) const {
   // Selects zones in proportion to their targets, so that every target gets the
   // same load. Zones whose stewards can't be reached are left out.
   const auto& targets = request.service->targets;
@@ -290,11 +293,11 @@
   for (size_t i = 0; i < targets.size(); ++i) {
     const size_t index = (first_index + i) % targets.size();
     std::string name = RangeName(request.service_name, targets[index].zone);
-    const range_node* node = ranges_.Find(name);
+    const range_state* node = ranges_.Find(name);
     if (first.empty()) {
       first = name;
     }
-    if (node != nullptr && request.arrived >= node->avoid_until) {
+    if (node != nullptr && request.arrived_at >= node->unreachable_until) {
       return name;
     }
   }
@@ -303,27 +306,27 @@
 
 void request_front::Route(front_request& request, time_point now,
                           steward_output& out) {
-  range_node* node = ranges_.Find(request.range);
+  range_state* node = ranges_.Find(request.range);
   if (node == nullptr || request.service == nullptr) {
     GiveUp(request, now, out);
     return;
   }
-  if (node->acting && node->steward->taking()) {
-    SubmitHere(request, *node, now, out);
+  if (node->acting && node->steward->accepting()) {
+    SubmitToLocalSteward(request, *node, now, out);
     return;
   }
-  const host_entry* host = NextHost(*node, request.tries, now);
+  const host_entry* host = NextHost(*node, request.forward_attempts, now);
   if (host == nullptr) {
     RetryLater(request, now);
     return;
   }
-  ++request.tries;
+  ++request.forward_attempts;
   request.forward_id = context_.ids.Next();
   request.forward_host = host->name;
   request.forwarded_at = now;
   request.forward_epoch =
-      node->record ? node->record->order.front().epoch : uint64_t{0};
-  forwards_[request.forward_id] = request.request_id;
+      node->record ? node->record->roster.front().epoch : uint64_t{0};
+  request_ids_by_forward_[request.forward_id] = request.request_id;
   forward_action forward;
   forward.request_id = request.request_id;
   forward.forward_id = request.forward_id;
@@ -333,14 +336,14 @@
   forward.range = request.range;
   forward.service = request.service_name;
   forward.key = request.key;
-  forward.level = request.level;
+  forward.level = request.urgency_level;
   forward.time_left_us = (request.deadline - now).count();
   forward.action = request.action;
-  forward.mint = request.mint;
+  forward.mint = request.is_mint;
   out.actions.push_back(std::move(forward));
 }
 
-const host_entry* request_front::NextHost(const range_node& node, int tries,
+const host_entry* request_front::NextHost(const range_state& node, int tries,
                                           time_point now) const {
   std::vector<const host_entry*> hosts;
   const auto add = [&](std::string_view name) {
@@ -354,46 +357,47 @@
     }
     hosts.push_back(entry);
   };
-  if (tries == 0 && !node.hint.empty()) {
-    add(node.hint);
+  if (tries == 0 && !node.last_known_steward.empty()) {
+    add(node.last_known_steward);
   }
   if (hosts.empty() && node.record) {
-    for (const roster_slot& slot : node.record->order) {
-      add(slot.who.host);
+    for (const roster_slot& slot : node.record->roster) {
+      add(slot.host_run.host);
     }
   }
   return hosts.empty() ? nullptr : hosts[tries % hosts.size()];
 }
 
-void request_front::SubmitHere(const front_request& request, range_node& node,
-                               time_point now, steward_output& out) {
-  requests_.at(request.request_id).at_steward = true;
+void request_front::SubmitToLocalSteward(const front_request& request,
+                                         range_state& node, time_point now,
+                                         steward_output& out) {
+  requests_.at(request.request_id).at_local_steward = true;
   steward_request submission;
   submission.request_id = request.request_id;
   submission.organisation = request.organisation;
   submission.key = request.key;
-  submission.level = request.level;
+  submission.level = request.urgency_level;
   submission.deadline = request.deadline;
   submission.action = request.action;
   submission.body_hash = request.body_hash;
-  submission.mint = request.mint;
+  submission.mint = request.is_mint;
   node.steward->Submit(submission, now, out);
 }
 
 void request_front::RetryLater(front_request& request, time_point now) {
   request.forward_id = 0;
-  request.at_steward = false;
-  request.next_try = now + context_.timing.route_retry;
+  request.at_local_steward = false;
+  request.next_attempt_at = now + context_.timing.route_retry;
 }
 
-void request_front::OnForwarded(const forwarded_request& request,
-                                time_point now, steward_output& out) {
-  range_node* node = ranges_.Find(request.range);
-  if (node == nullptr || !node->acting || !node->steward->taking()) {
+void request_front::OnForwardedRequest(const forwarded_request& request,
+                                       time_point now, steward_output& out) {
+  range_state* node = ranges_.Find(request.range);
+  if (node == nullptr || !node->acting || !node->steward->accepting()) {
     out.actions.push_back(NotStewardAnswer(request.request_id));
     return;
   }
-  forwarded_[request.request_id] = request.range;
+  forwarded_ranges_[request.request_id] = request.range;
   steward_request submission;
   submission.request_id = request.request_id;
   submission.organisation = request.organisation;
@@ -408,24 +412,24 @@
 
 void request_front::OnForwardEnded(const forward_ended& ended, time_point now,
                                    steward_output& out) {
-  const auto found = forwards_.find(ended.forward_id);
-  if (found == forwards_.end()) {
+  const auto found = request_ids_by_forward_.find(ended.forward_id);
+  if (found == request_ids_by_forward_.end()) {
     return;
   }
   front_request& request = requests_.at(found->second);
-  forwards_.erase(found);
-  range_node* node = ranges_.Find(request.range);
+  request_ids_by_forward_.erase(found);
+  range_state* node = ranges_.Find(request.range);
   if (ended.end == forward_end::kAnswered) {
     if (node != nullptr) {
-      node->hint = request.forward_host;
-      node->avoid_until = time_point{};
+      node->last_known_steward = request.forward_host;
+      node->unreachable_until = time_point{};
     }
     answer_action answer;
     answer.request_id = request.request_id;
     answer.outcome = ended.outcome;
     // An earlier forward of the request may have run even if the last one
     // didn't.
-    if (request.maybe_started && request.action.empty() &&
+    if (request.may_have_started && request.action.empty() &&
         ended.outcome == request_outcome::kNotRun) {
       answer.outcome = request_outcome::kUnknown;
     }
@@ -434,45 +438,46 @@
     answer.next_action = ended.next_action;
     // A steward mints a batch of identifiers; the caller gets only one, so the
     // forwarded body isn't used.
-    const bool minted = request.mint && !ended.next_action.empty();
+    const bool minted = request.is_mint && !ended.next_action.empty();
     answer.source = minted ? body_source::kNone : body_source::kForward;
     answer.body_id = ended.forward_id;
     Answer(request, std::move(answer), now, out);
     return;
   }
-  if (node != nullptr && node->hint == request.forward_host) {
-    node->hint.clear();
+  if (node != nullptr && node->last_known_steward == request.forward_host) {
+    node->last_known_steward.clear();
   }
   if (ended.end == forward_end::kBroken) {
-    request.maybe_started = true;
+    request.may_have_started = true;
   }
   RetryLater(request, now);
   const size_t roster_size =
-      node != nullptr && node->record ? node->record->order.size() : size_t{1};
+      node != nullptr && node->record ? node->record->roster.size() : size_t{1};
   // Each member of the roster is tried once without a delay.
-  const bool all_members_tried = request.tries >= static_cast<int>(roster_size);
-  if (all_members_tried && !request.pinned && !request.maybe_started &&
+  const bool all_members_tried =
+      request.forward_attempts >= static_cast<int>(roster_size);
+  if (all_members_tried && !request.range_pinned && !request.may_have_started &&
       node != nullptr) {
     // Any range of the service may serve the request: avoid the unreachable
     // one.
-    node->avoid_until = now + kUnreachableAvoidPeriod;
-    request.range = ChoosePooled(request);
-    request.tries = 0;
+    node->unreachable_until = now + kUnreachableAvoidPeriod;
+    request.range = ChoosePooledRange(request);
+    request.forward_attempts = 0;
     return;
   }
-  if (now < request.give_up && !all_members_tried) {
+  if (now < request.give_up_at && !all_members_tried) {
     Route(request, now, out);
   }
 }
 
-void request_front::OnGone(const caller_gone& gone, time_point now,
-                           steward_output& out) {
-  const auto forwarded = forwarded_.find(gone.request_id);
-  if (forwarded != forwarded_.end()) {
-    range_node* node = ranges_.Find(forwarded->second);
-    forwarded_.erase(forwarded);
+void request_front::OnCallerGone(const caller_gone& gone, time_point now,
+                                 steward_output& out) {
+  const auto forwarded = forwarded_ranges_.find(gone.request_id);
+  if (forwarded != forwarded_ranges_.end()) {
+    range_state* node = ranges_.Find(forwarded->second);
+    forwarded_ranges_.erase(forwarded);
     if (node != nullptr && node->steward != nullptr) {
-      node->steward->CallerGone(gone.request_id, now, out);
+      node->steward->OnCallerGone(gone.request_id, now, out);
     }
     return;
   }
@@ -483,17 +488,17 @@
   const front_request request = std::move(found->second);
   requests_.erase(found);
   if (request.forward_id != 0) {
-    forwards_.erase(request.forward_id);
+    request_ids_by_forward_.erase(request.forward_id);
     out.actions.push_back(cancel_forward_action{request.forward_id});
   }
-  range_node* node = ranges_.Find(request.range);
-  if (request.at_steward && node != nullptr && node->steward != nullptr) {
-    node->steward->CallerGone(gone.request_id, now, out);
+  range_state* node = ranges_.Find(request.range);
+  if (request.at_local_steward && node != nullptr && node->steward != nullptr) {
+    node->steward->OnCallerGone(gone.request_id, now, out);
   }
 }
 
 void request_front::Tick(time_point now, steward_output& out) {
-  Replenish(now, out);
+  RequestWantedActions(now, out);
   std::vector<uint64_t> ids;
   ids.reserve(requests_.size());
   for (const auto& [id, request] : requests_) {
@@ -503,37 +508,38 @@
   std::sort(ids.begin(), ids.end());
   for (const uint64_t id : ids) {
     const auto found = requests_.find(id);
-    if (found == requests_.end() || found->second.at_steward) {
+    if (found == requests_.end() || found->second.at_local_steward) {
       continue;
     }
     front_request& request = found->second;
     if (request.forward_id != 0) {
       const bool past_deadline = now >= request.deadline + kAnswerGracePeriod;
-      if (ForwardLost(request, now) || past_deadline) {
+      if (IsForwardLost(request, now) || past_deadline) {
         out.actions.push_back(cancel_forward_action{request.forward_id});
-        forwards_.erase(request.forward_id);
-        request.maybe_started = true;
+        request_ids_by_forward_.erase(request.forward_id);
+        request.may_have_started = true;
         RetryLater(request, now);
       } else {
         continue;
       }
     }
-    if (now >= request.give_up) {
+    if (now >= request.give_up_at) {
       GiveUp(request, now, out);
-    } else if (now >= request.next_try) {
+    } else if (now >= request.next_attempt_at) {
       Route(request, now, out);
     }
   }
 }
 
-bool request_front::ForwardLost(const front_request& request, time_point now) {
-  const range_node* node = ranges_.Find(request.range);
+bool request_front::IsForwardLost(const front_request& request,
+                                  time_point now) {
+  const range_state* node = ranges_.Find(request.range);
   // If another steward has taken over since, the previous one was disconnected
   // or paused and may never answer.
   const bool replaced =
       node != nullptr && node->record &&
-      node->record->order.front().epoch != request.forward_epoch &&
-      node->record->order.front().who.host != request.forward_host;
+      node->record->roster.front().epoch != request.forward_epoch &&
+      node->record->roster.front().host_run.host != request.forward_host;
   if (replaced) {
     return true;
   }
@@ -543,16 +549,17 @@
   // A late answer alone doesn't show that the host is unreachable,
   // since work may take long; a host that doesn't answer probes either is.
   probe_state& probe = probes_[request.forward_host];
-  const auto silence = context_.directory.Silence(request.forward_host, now);
+  const auto silence =
+      context_.directory.TimeSinceLastMessage(request.forward_host, now);
   const bool recently_heard = silence && *silence < kProbeSilenceTimeout;
-  if (recently_heard || probe.since < request.forwarded_at) {
-    probe.since = recently_heard ? now - *silence : now;
+  if (recently_heard || probe.silent_since < request.forwarded_at) {
+    probe.silent_since = recently_heard ? now - *silence : now;
   }
-  if (now >= probe.next) {
-    probe.next = now + kProbePeriod;
+  if (now >= probe.next_probe_at) {
+    probe.next_probe_at = now + kProbePeriod;
     context_.outbox[request.forward_host].probe = true;
   }
-  if (recently_heard || now < probe.since + kProbeSilenceTimeout) {
+  if (recently_heard || now < probe.silent_since + kProbeSilenceTimeout) {
     return false;
   }
   probe.avoid_until = now + kUnreachableAvoidPeriod;
@@ -561,16 +568,16 @@
 
 void request_front::GiveUp(front_request& request, time_point now,
                            steward_output& out) {
-  range_node* node = ranges_.Find(request.range);
+  range_state* node = ranges_.Find(request.range);
   if (node != nullptr) {
-    node->avoid_until = now + kUnreachableAvoidPeriod;
+    node->unreachable_until = now + kUnreachableAvoidPeriod;
   }
   answer_action answer;
   answer.request_id = request.request_id;
   // An earlier send of the same action may have run, and its caller may have
   // been told that it did; only the steward knows. The outcome "not run" would
   // make the caller send a new action, and the work could run twice.
-  const bool unknown = request.maybe_started || !request.action.empty();
+  const bool unknown = request.may_have_started || !request.action.empty();
   answer.outcome =
       unknown ? request_outcome::kUnknown : request_outcome::kNotRun;
   answer.status = 503;
@@ -582,14 +589,14 @@
   Answer(request, std::move(answer), now, out);
 }
 
-void request_front::Settle(time_point now, steward_output& out) {
+void request_front::HandleStewardResults(time_point now, steward_output& out) {
   // By index: results may be appended while a request is handled.
   for (size_t i = 0; i < out.results.size(); ++i) {
     request_result result = std::move(out.results[i]);
     const uint64_t id = result.answer.request_id;
-    const auto forwarded = forwarded_.find(id);
-    if (forwarded != forwarded_.end()) {
-      forwarded_.erase(forwarded);
+    const auto forwarded = forwarded_ranges_.find(id);
+    if (forwarded != forwarded_ranges_.end()) {
+      forwarded_ranges_.erase(forwarded);
       out.actions.push_back(result.no_authority ? NotStewardAnswer(id)
                                                 : std::move(result.answer));
       continue;
@@ -599,7 +606,7 @@
       continue;
     }
     front_request& request = found->second;
-    if (result.no_authority && now < request.give_up) {
+    if (result.no_authority && now < request.give_up_at) {
       RetryLater(request, now);
       continue;
     }
@@ -608,11 +615,11 @@
   out.results.clear();
 }
 
-void request_front::Replenish(time_point now, steward_output& out) {
+void request_front::RequestWantedActions(time_point now, steward_output& out) {
   for (const wanted_actions& wanted : std::exchange(wanted_actions_, {})) {
     const service_config* service =
         config_ == nullptr ? nullptr : config_->FindService(wanted.service);
-    if (service == nullptr || !minting_.insert(wanted).second) {
+    if (service == nullptr || !mints_in_flight_.insert(wanted).second) {
       continue;
     }
     front_request new_request;
@@ -621,12 +628,12 @@
     new_request.service = service;
     new_request.service_name = wanted.service;
     new_request.range = wanted.range;
-    new_request.arrived = now;
+    new_request.arrived_at = now;
     new_request.deadline = now + service->default_deadline;
-    new_request.give_up = new_request.deadline;
-    new_request.next_try = now;
-    new_request.pinned = true;
-    new_request.mint = true;
+    new_request.give_up_at = new_request.deadline;
+    new_request.next_attempt_at = now;
+    new_request.range_pinned = true;
+    new_request.is_mint = true;
     front_request& stored_request =
         requests_
             .insert_or_assign(new_request.request_id, std::move(new_request))
@@ -637,12 +644,12 @@
 
 std::string request_front::PoolActions(const front_request& request,
                                        std::string_view minted) {
-  std::vector<std::string> ids = SplitActions(minted);
-  if (request.service == nullptr || request.mint) {
+  std::vector<std::string> ids = SplitActionIds(minted);
+  if (request.service == nullptr || request.is_mint) {
     // No caller waits for the first identifier of an internal request.
     const size_t first = IsInternalRequest(request.request_id) ? 0 : 1;
     for (size_t i = first; i < ids.size(); ++i) {
-      actions_.Keep(request.organisation, request.range, ids[i]);
+      actions_.AddId(request.organisation, request.range, ids[i]);
     }
     return ids.front();
   }
@@ -652,26 +659,26 @@
   }
   // It is another range's turn: return a pooled identifier of that range, if
   // there is one, and pool the minted one for its own range's turn.
-  auto pooled_action = TakePooled(request.organisation, range);
+  auto pooled_action = TakePooledAction(request.organisation, range);
   if (!pooled_action) {
     wanted_actions_.insert({request.organisation, request.service_name, range});
     return ids.front();
   }
-  actions_.Keep(request.organisation, request.range, std::move(ids.front()));
+  actions_.AddId(request.organisation, request.range, std::move(ids.front()));
   return *pooled_action;
 }
 
 // Identifiers of earlier epochs are dropped: a failed steward's successor has
 // to answer them with "unknown", and the caller would then look up an action
 // that never started.
-std::optional<std::string> request_front::TakePooled(
+std::optional<std::string> request_front::TakePooledAction(
     std::string_view organisation, std::string_view range) {
-  const range_node* node = ranges_.Find(range);
+  const range_state* node = ranges_.Find(range);
   uint64_t current = node == nullptr ? 0 : node->newest_map.epoch;
   if (node != nullptr && node->record) {
     current = std::max(current, node->record->map.epoch);
   }
-  while (auto id = actions_.Take(organisation, range)) {
+  while (auto id = actions_.TakeId(organisation, range)) {
     const result<action_id> parsed_id =
         ParseActionId(*id, organisation, context_.secret);
     if (parsed_id && parsed_id.value().minted &&
@@ -699,7 +706,8 @@
 void request_front::Answer(const front_request& request, answer_action answer,
                            time_point now, steward_output& out) {
   if (IsInternalRequest(request.request_id)) {
-    minting_.erase({request.organisation, request.service_name, request.range});
+    mints_in_flight_.erase(
+        {request.organisation, request.service_name, request.range});
     if (!answer.next_action.empty()) {
       PoolActions(request, answer.next_action);
     }
@@ -707,14 +715,14 @@
     return;
   }
   if (answer.code == "identifier-expired") {
-    actions_.Forget(request.range);
+    actions_.RemoveRange(request.range);
   }
   if (!answer.next_action.empty()) {
     answer.next_action = PoolActions(request, answer.next_action);
   }
   reports_.push_back(request_report{request.organisation, request.service_name,
                                     answer.outcome, answer.status,
-                                    now - request.arrived});
+                                    now - request.arrived_at});
   out.actions.push_back(std::move(answer));
   requests_.erase(request.request_id);
 }
--- a/src/core/request_router_placing.cc
+++ b/src/core/request_router_placing.cc
@@ -60,10 +60,9 @@
 
 }  // namespace
 
-request_router::target* request_router::Pick(service& service_state,
-                                             const request& pending_request,
-                                             time_point now) {
-  return service_state.keyed ? OwnerOf(service_state, pending_request, now)
+request_router::target* request_router::PickTarget(
+    service& service_state, const request& pending_request, time_point now) {
+  return service_state.keyed ? PickOwner(service_state, pending_request, now)
                              : PickPooled(service_state, pending_request, now);
 }
 
@@ -77,25 +76,26 @@
              : nullptr;
 }
 
-bool request_router::IsEvacuationOver(const target& owner, time_point now) {
+bool request_router::IsEvacuationGraceOver(const target& owner,
+                                           time_point now) {
   const auto evacuated_since = owner.availability.evacuated_since();
   return evacuated_since && now - *evacuated_since > kEvacuationGrace;
 }
 
-request_router::target* request_router::OwnerOf(service& service_state,
-                                                const request& pending_request,
-                                                time_point now) {
+request_router::target* request_router::PickOwner(
+    service& service_state, const request& pending_request, time_point now) {
   target* owner = FindOwner(service_state, pending_request);
   if (owner == nullptr) {
     return nullptr;
   }
   const bool grace_is_over =
       (owner->draining_since &&
-       now - *owner->draining_since > Part(settings_.drain, kDrainFraction)) ||
-      IsEvacuationOver(*owner, now);
+       now - *owner->draining_since >
+           Part(settings_.drain_timeout, kDrainFraction)) ||
+      IsEvacuationGraceOver(*owner, now);
   const bool usable = !grace_is_over && !owner->availability.IsCold(now) &&
                       owner->health.IsReachable(now) &&
-                      owner->health.HasRoom(now);
+                      owner->health.HasCapacity(now);
   return usable ? owner : nullptr;
 }
 
@@ -106,14 +106,14 @@
   // is missing from the list.
   target* last_resort = nullptr;
   for (const auto& candidate : service_state.targets) {
-    const bool is_usable = IsOpen(*candidate, now) &&
+    const bool is_usable = AcceptsRequests(*candidate, now) &&
                            candidate->health.IsReachable(now) &&
-                           candidate->health.HasRoom(now) &&
+                           candidate->health.HasCapacity(now) &&
                            !pending_request.WasTried(candidate.get());
     if (!is_usable) {
       continue;
     }
-    if (candidate->missing_since || !candidate->health.IsTrusted(now)) {
+    if (candidate->missing_since || !candidate->health.IsHealthy(now)) {
       const bool is_better =
           last_resort == nullptr ||
           candidate->health.in_flight() < last_resort->health.in_flight();
@@ -124,10 +124,11 @@
         candidate.get());
   }
   const duration other_zone_penalty = duration{static_cast<int64_t>(
-      static_cast<double>(pending_request.by->objective.count()) *
+      static_cast<double>(pending_request.matched_route->objective.count()) *
       kOtherZonePenaltyFraction)};
-  const int choices =
-      service_state.limit.is_told() ? kChoicesWithReportedLoad : kChoices;
+  const int choices = service_state.limit.has_load_reports()
+                          ? kChoicesWithReportedLoad
+                          : kChoices;
   target* best = nullptr;
   duration best_cost{};
   for (size_t group = 0; group < usable.size(); ++group) {
@@ -154,22 +155,24 @@
   double free_slots = 0.0;
   double throughput = 0.0;  // Requests per microsecond.
   for (const auto& candidate : service_state.targets) {
-    if (!IsOpen(*candidate, now) || !candidate->health.IsReachable(now)) {
+    if (!AcceptsRequests(*candidate, now) ||
+        !candidate->health.IsReachable(now)) {
       continue;
     }
     free_slots += std::max(
         0.0, candidate->health.limit() - candidate->health.in_flight());
     throughput +=
         candidate->health.limit() /
-        std::max(1.0, static_cast<double>(candidate->health.latency().count()));
+        std::max(1.0,
+                 static_cast<double>(candidate->health.mean_latency().count()));
   }
   const double limit = service_state.limit.limit();
   if (limit < free_slots + service_state.in_flight) {
     throughput *= limit / std::max(1.0, free_slots + service_state.in_flight);
     free_slots = std::max(0.0, limit - service_state.in_flight);
   }
-  const size_t queued_before =
-      service_state.queue.AheadOf(pending_request.by->rank);
+  const size_t queued_before = service_state.queue.CountAtLeastAsUrgent(
+      pending_request.matched_route->rank);
   const double excess =
       static_cast<double>(queued_before) - std::floor(free_slots) + 1.0;
   if (excess <= 0.0 || throughput <= 0.0) {
@@ -178,17 +181,17 @@
   return duration{static_cast<int64_t>(excess / throughput)};
 }
 
-std::optional<refusal_reason> request_router::CannotServe(
+std::optional<refusal_reason> request_router::RefusalReasonFor(
     service& service_state, const request& pending_request, time_point now) {
-  if (crashes_.IsCrashing(pending_request.content, now)) {
+  if (crashes_.IsQuarantined(pending_request.content_hash, now)) {
     return refusal_reason::kCrashesTargets;
   }
   const auto is_too_late = [&](duration expected) {
     const double max_expected =
-        static_cast<double>(pending_request.by->objective.count()) *
+        static_cast<double>(pending_request.matched_route->objective.count()) *
         kMaxExpectedLatencyRatio;
     return static_cast<double>(expected.count()) > max_expected ||
-           now + expected > pending_request.expires;
+           now + expected > pending_request.deadline;
   };
   if (service_state.keyed) {
     const key_range* range =
@@ -210,19 +213,21 @@
     if (owner->availability.IsCold(now)) {
       return refusal_reason::kNoWarmTarget;
     }
-    if (IsEvacuationOver(*owner, now) ||
-        !owner->health.IsReachable(now + pending_request.by->objective / 2)) {
+    if (IsEvacuationGraceOver(*owner, now) ||
+        !owner->health.IsReachable(
+            now + pending_request.matched_route->objective / 2)) {
       return refusal_reason::kNoTarget;
     }
     // The owner is full of other hosts' requests, and this host may send to it
     // again only after the request's maximum wait.
-    const duration max_wait =
-        MostWait(pending_request.by->objective, owner->health.LikelyLatency());
+    const duration max_wait = MaxWait(pending_request.matched_route->objective,
+                                      owner->health.LikelyLatency());
     if (owner->health.PausedUntil() > now + max_wait) {
       return refusal_reason::kQueueFull;
     }
-    const size_t queued_before = owner->queue.AheadOf(pending_request.by->rank);
-    const duration latency = owner->health.latency();
+    const size_t queued_before =
+        owner->queue.CountAtLeastAsUrgent(pending_request.matched_route->rank);
+    const duration latency = owner->health.mean_latency();
     const auto expected_wait = duration{static_cast<int64_t>(
         static_cast<double>(latency.count() *
                             static_cast<int64_t>(queued_before)) /
@@ -234,13 +239,14 @@
   }
   bool any_usable = false;
   for (const auto& candidate : service_state.targets) {
-    any_usable = any_usable || (IsOpen(*candidate, now) &&
-                                candidate->health.IsReachable(
-                                    now + pending_request.by->objective / 2));
+    any_usable =
+        any_usable || (AcceptsRequests(*candidate, now) &&
+                       candidate->health.IsReachable(
+                           now + pending_request.matched_route->objective / 2));
   }
   if (!any_usable) {
-    return WarmAt(service_state, now) ? refusal_reason::kNoWarmTarget
-                                      : refusal_reason::kNoTarget;
+    return FirstWarmTime(service_state, now) ? refusal_reason::kNoWarmTarget
+                                             : refusal_reason::kNoTarget;
   }
   if (service_state.waiting_count > 0 &&
       is_too_late(ExpectedWait(service_state, pending_request, now))) {
@@ -256,15 +262,15 @@
   }
   duration min_latency = duration::max();
   for (const auto& candidate : service_state.targets) {
-    if (IsOpen(*candidate, now) && candidate->health.IsTrusted(now)) {
+    if (AcceptsRequests(*candidate, now) && candidate->health.IsHealthy(now)) {
       min_latency = std::min(min_latency, candidate->health.LikelyLatency());
     }
   }
   return min_latency == duration::max() ? duration{0} : min_latency;
 }
 
-std::optional<time_point> request_router::WarmAt(const service& service_state,
-                                                 time_point now) {
+std::optional<time_point> request_router::FirstWarmTime(
+    const service& service_state, time_point now) {
   std::optional<time_point> first_warm_at;
   for (const auto& candidate : service_state.targets) {
     const target_availability& availability = candidate->availability;
@@ -280,23 +286,23 @@
 
 duration request_router::RetryAfter(const request& refused_request,
                                     refusal_reason reason, time_point now) {
-  service& service_state = *refused_request.at;
+  service& service_state = *refused_request.service_state;
   duration base_delay = service_state.keyed
                             ? kKeyedRetryAfter
                             : ExpectedWait(service_state, refused_request, now);
   if (reason == refusal_reason::kNoWarmTarget) {
-    base_delay = WarmAt(service_state, now).value_or(now) - now;
+    base_delay = FirstWarmTime(service_state, now).value_or(now) - now;
   }
-  if (QueueOf(service_state, FindOwner(service_state, refused_request))
+  if (QueueFor(service_state, FindOwner(service_state, refused_request))
           .IsOverloaded(now)) {
-    base_delay = RetryAfterOverload(refused_request.by->objective);
+    base_delay = RetryAfterOverload(refused_request.matched_route->objective);
   }
   base_delay = std::max(base_delay, kMinRetryAfter);
   // Jitter of 0.5 to 1.5 times the base, so that callers refused together don't
   // retry together.
   const auto jitter_permille = static_cast<int64_t>(random_() % 1000);
   duration retry_after = base_delay / 2 + base_delay * jitter_permille / 1000;
-  const duration time_left = refused_request.caller_waits - now;
+  const duration time_left = refused_request.caller_deadline - now;
   retry_after = std::min(retry_after, time_left / kRetryAfterDivisor);
   return std::max(retry_after, duration{0});
 }
--- a/src/core/request_router_reports.cc
+++ b/src/core/request_router_reports.cc
@@ -18,23 +18,23 @@
 
 }  // namespace
 
-void request_router::TakeLoad(const request& ended_request, target& reporter,
-                              const attempt_report& report, time_point now) {
+void request_router::RecordLoad(const request& ended_request, target& reporter,
+                                const attempt_report& report, time_point now) {
   // Most likely another target has taken over the address, so that the load is
   // not that of this target.
   if (report.verdict == attempt_verdict::kMisdirected) {
     return;
   }
-  reporter.health.OnTold(*report.load, now, duration{0});
-  reporter.has_told = true;
+  reporter.health.OnLoadReport(*report.load, now, duration{0});
+  reporter.has_new_load = true;
   const double load =
       static_cast<double>(report.load->occupied()) / reporter.entry.slots;
-  ended_request.at->limit.OnAnswer(
-      {.load = load,
+  ended_request.service_state->limit.OnResponse(
+      {.load_per_slot = load,
        .served = report.verdict == attempt_verdict::kServed,
-       .took = now - ended_request.sent,
-       .objective = ended_request.by->objective},
-      ended_request.at->in_flight);
+       .latency = now - ended_request.sent_time,
+       .objective = ended_request.matched_route->objective},
+      ended_request.service_state->in_flight);
 }
 
 std::vector<service_gauges> request_router::Gauges(time_point now) {
@@ -42,11 +42,11 @@
   for (auto& [name, service_state] : services_) {
     service_gauges& service_gauge = gauges.emplace_back();
     service_gauge.service = name;
-    service_gauge.waiting = service_state->waiting_count;
+    service_gauge.waiting_requests = service_state->waiting_count;
     service_gauge.in_flight = service_state->in_flight;
-    service_gauge.repeats_left = service_state->budget.Left(now);
+    service_gauge.retries_left = service_state->budget.RemainingRetries(now);
     for (const auto& known_target : service_state->targets) {
-      const bool is_usable = IsOpen(*known_target, now) &&
+      const bool is_usable = AcceptsRequests(*known_target, now) &&
                              !known_target->missing_since &&
                              known_target->health.IsReachable(now);
       service_gauge.usable_targets += is_usable ? 1 : 0;
@@ -65,7 +65,7 @@
     return counts;
   }
   std::vector<key_point> requested_keys =
-      std::exchange(found->second->keys_asked, {});
+      std::exchange(found->second->requested_keys, {});
   std::sort(requested_keys.begin(), requested_keys.end());
   for (const key_point key : requested_keys) {
     if (counts.empty() || counts.back().first != key) {
@@ -90,13 +90,14 @@
     return samples;
   }
   for (const auto& known_target : found->second->targets) {
-    const told_load* load = known_target->health.Told(now);
-    if (!std::exchange(known_target->has_told, false) || load == nullptr) {
+    const reported_load* load = known_target->health.ReportedLoad(now);
+    if (!std::exchange(known_target->has_new_load, false) || load == nullptr) {
       continue;
     }
-    const auto [mean_latency, served] = known_target->health.TakeRecent();
+    const auto [mean_latency, served] =
+        known_target->health.TakeRecentLatency();
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
-        now - known_target->health.told_at());
+        now - known_target->health.reported_at());
     samples.push_back(
         {.target = known_target->short_id,
          .load = *load,
@@ -118,7 +119,7 @@
       const auto found = samples_by_target.find(known_target->short_id);
       if (found != samples_by_target.end()) {
         const load_sample& sample = *found->second;
-        known_target->health.OnTold(
+        known_target->health.OnLoadReport(
             sample.load, now - std::chrono::milliseconds{sample.age_ms},
             duration{static_cast<int64_t>(sample.latency_us)});
       }
@@ -134,7 +135,8 @@
     return latencies;
   }
   for (const auto& known_target : found->second->targets) {
-    const auto [mean_latency, served] = known_target->health.TakeRecent();
+    const auto [mean_latency, served] =
+        known_target->health.TakeRecentLatency();
     if (served > 0) {
       latencies.push_back(
           {.target = known_target->entry.life.id,
--- a/src/core/request_router_state.h
+++ b/src/core/request_router_state.h
@@ -26,21 +26,21 @@
       boost::intrusive::list<request,
                              boost::intrusive::constant_time_size<true>>;
 
-  void Add(request& waiting);
-  void Remove(request& waiting);
+  void Add(request& pending_request);
+  void Remove(request& pending_request);
   void Clear();
   /// Number of requests that are at least as urgent as `rank`.
-  size_t AheadOf(int rank) const;
+  size_t CountAtLeastAsUrgent(int rank) const;
   /// The requests by rank, the most urgent first; within a rank in the order in
   /// which they were added.
   std::map<int, list>& ranks() { return ranks_; }
 
   /// Records that a request was refused because no slot became free in time.
-  void NoteRefused(const request& refused, time_point now);
+  void RecordRefusal(const request& refused_request, time_point now);
   bool IsOverloaded(time_point now) const { return now < overloaded_until_; }
 
  private:
-  time_point refused_at_{};
+  time_point last_refusal_{};
   time_point overloaded_until_{};
   std::map<int, list> ranks_;
 };
@@ -56,7 +56,7 @@
   target_entry entry;
   uint32_t short_id;
   target_health health;
-  bool has_told = false;  ///< It reported its load since TakeLoads().
+  bool has_new_load = false;  ///< It reported its load since TakeLoads().
   target_availability availability;
   /// Earliest time at which it can have begun to drain.
   std::optional<time_point> draining_since;
@@ -70,32 +70,32 @@
 struct request_router::request : boost::intrusive::list_base_hook<> {
   request_id id = 0;
   route_table_ptr table;  ///< Keeps `matched_route` alive.
-  const route* by = nullptr;
-  service* at = nullptr;
+  const route* matched_route = nullptr;
+  service* service_state = nullptr;
   std::optional<key_point> key;
-  uint64_t content = 0;
-  time_point arrived{};
-  time_point expires{};       ///< Its deadline on this host.
-  time_point caller_waits{};  ///< When the caller gives up.
-  time_point waits_since{};   ///< Start of the wait for the next send.
-  time_point wait_until{};    ///< Refused if still waiting by then.
-  time_point not_before{};    ///< Earliest time of the next send.
-  int arrivals = 0;           ///< Attempts that reached a target.
-  int unreachable = 0;        ///< Attempts that reached no target.
+  uint64_t content_hash = 0;
+  time_point arrival_time{};
+  time_point deadline{};         ///< Its deadline on this host.
+  time_point caller_deadline{};  ///< When the caller gives up.
+  time_point wait_start{};       ///< Start of the wait for the next send.
+  time_point wait_deadline{};    ///< Refused if still waiting by then.
+  time_point earliest_send{};    ///< Earliest time of the next send.
+  int attempt_count = 0;         ///< Attempts that reached a target.
+  int unreachable_count = 0;     ///< Attempts that reached no target.
   bool may_have_run = false;
   bool has_answer = false;  ///< A target's error answer is kept for the caller.
-  target_ptr current;       ///< Set while an attempt is under way.
+  target_ptr current_target;       ///< Set while an attempt is under way.
   waiting_queue* queue = nullptr;  ///< Queue that it waits in.
-  target_ptr waits_for;            ///< Target that `queue` belongs to, if any.
-  time_point sent{};
-  std::optional<time_point> first_sent{};
-  std::vector<target_ptr> tried;
+  target_ptr queue_owner;          ///< Target that `queue` belongs to, if any.
+  time_point sent_time{};
+  std::optional<time_point> first_sent_time{};
+  std::vector<target_ptr> tried_targets;
 
   bool is_waiting() const { return is_linked(); }
-  request_account Account(time_point now) const;
-  bool WasTried(const target* one) const {
-    for (const target_ptr& tried_target : tried) {
-      if (tried_target.get() == one) {
+  request_summary Summary(time_point now) const;
+  bool WasTried(const target* candidate) const {
+    for (const target_ptr& tried_target : tried_targets) {
+      if (tried_target.get() == candidate) {
         return true;
       }
     }
@@ -105,8 +105,8 @@
 
 /// One service: its targets, the owners of its keys and its waiting requests.
 struct request_router::service {
-  explicit service(std::string its_name, const retry_bounds& bounds)
-      : name(std::move(its_name)), budget(bounds) {}
+  explicit service(std::string service_name, const retry_bounds& bounds)
+      : name(std::move(service_name)), budget(bounds) {}
 
   target* FindLife(const target_life& life) {
     for (const auto& candidate : targets) {
@@ -119,7 +119,7 @@
 
   std::string name;
   bool keyed = false;
-  cold_policy cold;
+  cold_policy cold_start;
   int in_flight = 0;    ///< Attempts under way at its targets.
   service_limit limit;  ///< Of `in_flight`, if targets report their load.
   std::vector<boost::intrusive_ptr<target>> targets;
@@ -132,26 +132,27 @@
   size_t waiting_count = 0;  ///< In all queues of the service.
   retry_budget budget;
   /// Moving average of the fraction of attempts that targets shed.
-  double shed_share = 0.0;
-  std::vector<key_point> keys_asked;  ///< One entry for each request.
+  double shed_fraction = 0.0;
+  std::vector<key_point> requested_keys;  ///< One entry for each request.
 };
 
 inline void request_router::waiting_queue::Add(request& waiting) {
-  ranks_[waiting.by->rank].push_back(waiting);
+  ranks_[waiting.matched_route->rank].push_back(waiting);
 }
 
 inline void request_router::waiting_queue::Remove(request& waiting) {
-  ranks_[waiting.by->rank].erase(list::s_iterator_to(waiting));
+  ranks_[waiting.matched_route->rank].erase(list::s_iterator_to(waiting));
 }
 
-inline void request_router::waiting_queue::NoteRefused(const request& refused,
-                                                       time_point now) {
-  const duration overload_time = OverloadTime(refused.by->objective);
+inline void request_router::waiting_queue::RecordRefusal(const request& refused,
+                                                         time_point now) {
+  const duration overload_time =
+      OverloadDuration(refused.matched_route->objective);
   // A single refusal may be chance; two within that time mean overload.
-  if (now - refused_at_ < overload_time) {
+  if (now - last_refusal_ < overload_time) {
     overloaded_until_ = now + overload_time;
   }
-  refused_at_ = now;
+  last_refusal_ = now;
 }
 
 inline void request_router::waiting_queue::Clear() {
@@ -160,7 +161,8 @@
   }
 }
 
-inline size_t request_router::waiting_queue::AheadOf(int rank) const {
+inline size_t request_router::waiting_queue::CountAtLeastAsUrgent(
+    int rank) const {
   size_t count = 0;
   for (const auto& [other_rank, requests] : ranks_) {
     count += other_rank <= rank ? requests.size() : 0;
@@ -168,11 +170,12 @@
   return count;
 }
 
-inline request_account request_router::request::Account(time_point now) const {
-  request_account summary{
-      .service = at->name, .attempts = arrivals, .age = now - arrived};
-  if (first_sent) {
-    summary.wait = *first_sent - arrived;
+inline request_summary request_router::request::Summary(time_point now) const {
+  request_summary summary{.service = service_state->name,
+                          .attempts = attempt_count,
+                          .age = now - arrival_time};
+  if (first_sent_time) {
+    summary.queue_time = *first_sent_time - arrival_time;
   }
   return summary;
 }
--- a/src/core/request_router_targets.cc
+++ b/src/core/request_router_targets.cc
@@ -32,65 +32,65 @@
                               router_actions& out) {
   table_ = std::move(table);
   for (const service_settings& settings : table_->config().services) {
-    service& service_state = ServiceOf(settings.name);
+    service& service_state = FindOrAddService(settings.name);
     service_state.keyed = settings.keyed;
-    service_state.cold = ColdPolicyOf(settings);
+    service_state.cold_start = ColdPolicyOf(settings);
   }
-  LimitConnections();
+  UpdateConnectionLimits();
   for (auto& [name, service_state] : services_) {
-    Pump(*service_state, now, out);
+    SendWaiting(*service_state, now, out);
   }
 }
 
 /// Returns this host's share of the connections that a target accepts from all
 /// hosts; 0 for no limit. A target resets connections above its limit, and it
 /// is not known whether a request on such a connection ran.
-int request_router::ConnectionsAllowed(const std::string& service_name) const {
+int request_router::MaxConnections(const std::string& service_name) const {
   const service_settings* settings =
       table_ ? table_->FindService(service_name) : nullptr;
   if (settings == nullptr || settings->max_connections <= 0) {
     return 0;
   }
   const double share = settings->max_connections * kUsableConnectionsFraction /
-                       static_cast<double>(hosts_);
+                       static_cast<double>(host_count_);
   return std::max(1, static_cast<int>(share));
 }
 
-void request_router::LimitConnections() {
+void request_router::UpdateConnectionLimits() {
   for (auto& [name, service_state] : services_) {
-    const int max_connections = ConnectionsAllowed(name);
+    const int max_connections = MaxConnections(name);
     for (const auto& known_target : service_state->targets) {
-      known_target->health.SetShare(max_connections, hosts_);
+      known_target->health.SetLimits(max_connections, host_count_);
     }
-    ShareSlots(*service_state);
+    UpdateSlotShare(*service_state);
   }
 }
 
-void request_router::ShareSlots(service& service_state) const {
+void request_router::UpdateSlotShare(service& service_state) const {
   double slots = 0.0;
   for (const auto& listed_target : service_state.targets) {
     slots += listed_target->entry.draining ? 0.0 : listed_target->entry.slots;
   }
   if (slots > 0.0) {
-    service_state.limit.SetShare(slots, hosts_);
+    service_state.limit.SetCapacity(slots, host_count_);
   }
 }
 
 void request_router::OnHostCount(size_t hosts) {
-  if (hosts == hosts_) {
+  if (hosts == host_count_) {
     return;
   }
-  hosts_ = hosts;
-  LimitConnections();
+  host_count_ = hosts;
+  UpdateConnectionLimits();
   for (auto& [name, service_state] : services_) {
-    service_state->budget.SetHosts(hosts);
+    service_state->budget.SetHostCount(hosts);
   }
 }
 
-duration request_router::FirstLatency(const service& service_state) {
+duration request_router::InitialLatency(const service& service_state) {
   duration sum{0};
   for (const auto& known_target : service_state.targets) {
-    sum += known_target->health.latency();
+    sum += known_target->health.mean_latency();
   }
   const auto count = static_cast<int64_t>(service_state.targets.size());
   return count == 0 ? kInitialLatency : std::max(kInitialLatency, sum / count);
@@ -102,22 +102,23 @@
                                router_actions& out) {
   std::unordered_set<const target*> listed;
   for (const target_entry& entry : targets) {
-    service& service_state = ServiceOf(entry.service);
+    service& service_state = FindOrAddService(entry.service);
     target* known_target = service_state.FindLife(entry.life);
     const bool is_new =
         known_target == nullptr || known_target->entry.address != entry.address;
     if (is_new) {
       service_state.targets.push_back(
-          new target(entry, FirstLatency(service_state)));
+          new target(entry, InitialLatency(service_state)));
       known_target = service_state.targets.back().get();
-      known_target->health.SetShare(ConnectionsAllowed(entry.service), hosts_);
+      known_target->health.SetLimits(MaxConnections(entry.service),
+                                     host_count_);
     }
     if (is_new || !(known_target->entry == entry)) {
-      known_target->availability.OnEntry(entry, service_state.cold, now);
+      known_target->availability.OnEntry(entry, service_state.cold_start, now);
     }
     known_target->entry = entry;
     known_target->availability.OnEvacuated(
-        evacuated_zones_.contains(entry.zone), service_state.cold, now);
+        evacuated_zones_.contains(entry.zone), service_state.cold_start, now);
     known_target->missing_since.reset();
     if (!entry.draining) {
       known_target->draining_since.reset();
@@ -127,7 +128,7 @@
     listed.insert(known_target);
   }
   if (!may_be_incomplete) {
-    crashes_.OnListed(
+    crashes_.OnTargetList(
         [&](const target_life& life) {
           return std::any_of(
               targets.begin(), targets.end(),
@@ -143,11 +144,11 @@
       if (!known_target->missing_since) {
         known_target->missing_since = now;
       }
-      return !may_be_incomplete || IsRetired(*known_target, now);
+      return !may_be_incomplete || IsMissingTooLong(*known_target, now);
     });
-    ShareSlots(*service_state);
+    UpdateSlotShare(*service_state);
     RedistributeQueues(*service_state);
-    Pump(*service_state, now, out);
+    SendWaiting(*service_state, now, out);
   }
 }
 
@@ -158,31 +159,32 @@
     for (const auto& known_target : service_state->targets) {
       known_target->availability.OnEvacuated(
           evacuated_zones_.contains(known_target->entry.zone),
-          service_state->cold, now);
+          service_state->cold_start, now);
     }
-    Pump(*service_state, now, out);
+    SendWaiting(*service_state, now, out);
   }
 }
 
-bool request_router::IsOpen(const target& candidate, time_point now) {
-  return !candidate.entry.draining && candidate.availability.IsOpen(now);
+bool request_router::AcceptsRequests(const target& candidate, time_point now) {
+  return !candidate.entry.draining && candidate.availability.IsAvailable(now);
 }
 
-bool request_router::IsRetired(const target& candidate, time_point now) {
+bool request_router::IsMissingTooLong(const target& candidate, time_point now) {
   return candidate.missing_since &&
          now - *candidate.missing_since >= kMissingTargetGrace;
 }
 
-void request_router::DropRetired(service& service_state, time_point now) {
+void request_router::DropMissingTargets(service& service_state,
+                                        time_point now) {
   std::erase_if(service_state.targets, [&](const auto& candidate) {
-    return IsRetired(*candidate, now);
+    return IsMissingTooLong(*candidate, now);
   });
 }
 
 void request_router::OnKeyMap(const std::string& service_name,
                               const key_map& map, time_point now,
                               router_actions& out) {
-  service& service_state = ServiceOf(service_name);
+  service& service_state = FindOrAddService(service_name);
   std::map<fence_number, time_point> moving_since;
   for (const key_range& range : map.ranges) {
     if (!range.granted) {
@@ -195,7 +197,7 @@
   service_state.moving_since = std::move(moving_since);
   service_state.owners = map;
   RedistributeQueues(service_state);
-  Pump(service_state, now, out);
+  SendWaiting(service_state, now, out);
 }
 
 }  // namespace foxtailspread
--- a/src/core/request_router_waiting.cc
+++ b/src/core/request_router_waiting.cc
@@ -12,16 +12,16 @@
 
 namespace foxtailspread {
 
-request_router::waiting_queue& request_router::QueueOf(service& service_state,
-                                                       target* owner) {
+request_router::waiting_queue& request_router::QueueFor(service& service_state,
+                                                        target* owner) {
   return owner == nullptr ? service_state.queue : owner->queue;
 }
 
 void request_router::JoinQueue(request& pending_request) {
-  service& service_state = *pending_request.at;
-  pending_request.waits_for = FindOwner(service_state, pending_request);
+  service& service_state = *pending_request.service_state;
+  pending_request.queue_owner = FindOwner(service_state, pending_request);
   pending_request.queue =
-      &QueueOf(service_state, pending_request.waits_for.get());
+      &QueueFor(service_state, pending_request.queue_owner.get());
   pending_request.queue->Add(pending_request);
   ++service_state.waiting_count;
 }
@@ -32,14 +32,14 @@
   }
   pending_request.queue->Remove(pending_request);
   pending_request.queue = nullptr;
-  pending_request.waits_for.reset();
-  --pending_request.at->waiting_count;
+  pending_request.queue_owner.reset();
+  --pending_request.service_state->waiting_count;
 }
 
-void request_router::Wait(request& pending_request, time_point now) {
-  pending_request.waits_since = now;
+void request_router::StartWaiting(request& pending_request, time_point now) {
+  pending_request.wait_start = now;
   JoinQueue(pending_request);
-  Schedule(std::min(pending_request.wait_until, now + kRecheck),
+  Schedule(std::min(pending_request.wait_deadline, now + kRecheckPeriod),
            pending_request.id);
 }
 
@@ -49,15 +49,15 @@
   }
   std::vector<request*> waiting;
   for (auto& [id, pending_request] : requests_) {
-    if (pending_request->at == &service_state &&
+    if (pending_request->service_state == &service_state &&
         pending_request->is_waiting()) {
       waiting.push_back(pending_request.get());
     }
   }
   std::sort(waiting.begin(), waiting.end(),
             [](const request* a, const request* b) {
-              return a->waits_since < b->waits_since ||
-                     (a->waits_since == b->waits_since && a->id < b->id);
+              return a->wait_start < b->wait_start ||
+                     (a->wait_start == b->wait_start && a->id < b->id);
             });
   for (request* pending_request : waiting) {
     LeaveQueue(*pending_request);
@@ -65,35 +65,35 @@
   }
 }
 
-void request_router::Pump(service& service_state, time_point now,
-                          router_actions& out) {
-  PumpQueue(service_state.queue, now, out);
+void request_router::SendWaiting(service& service_state, time_point now,
+                                 router_actions& out) {
+  SendFromQueue(service_state.queue, now, out);
   if (!service_state.keyed || service_state.waiting_count == 0) {
     return;
   }
   for (const auto& owner : service_state.targets) {
-    PumpQueue(owner->queue, now, out);
+    SendFromQueue(owner->queue, now, out);
   }
 }
 
-void request_router::PumpAfter(service& service_state,
-                               const target_ptr& freed_target, time_point now,
-                               router_actions& out) {
-  PumpQueue(service_state.keyed && freed_target ? freed_target->queue
-                                                : service_state.queue,
-            now, out);
+void request_router::SendAfterFreedSlot(service& service_state,
+                                        const target_ptr& freed_target,
+                                        time_point now, router_actions& out) {
+  SendFromQueue(service_state.keyed && freed_target ? freed_target->queue
+                                                    : service_state.queue,
+                now, out);
 }
 
-void request_router::PumpQueue(waiting_queue& queue, time_point now,
-                               router_actions& out) {
+void request_router::SendFromQueue(waiting_queue& queue, time_point now,
+                                   router_actions& out) {
   std::vector<request*> send_order;
   for (auto& [rank, requests] : queue.ranks()) {
     if (requests.empty()) {
       continue;
     }
     const request& oldest = requests.front();
-    const bool newest_first =
-        GoesNewestFirst(now - oldest.waits_since, oldest.by->objective);
+    const bool newest_first = ShouldSendNewestFirst(
+        now - oldest.wait_start, oldest.matched_route->objective);
     send_order.clear();
     for (request& pending_request : requests) {
       send_order.push_back(&pending_request);
@@ -102,14 +102,15 @@
       std::reverse(send_order.begin(), send_order.end());
     }
     for (request* next : send_order) {
-      if (next->not_before > now) {
+      if (next->earliest_send > now) {
         continue;
       }
       const bool sent = TrySend(*next, now, out);
       // If a request that may go to every target of the queue finds no free
       // slot, the requests behind it find none either.
-      const bool same_targets_for_all = next->waits_for || !next->at->keyed;
-      if (!sent && same_targets_for_all && next->tried.empty()) {
+      const bool same_targets_for_all =
+          next->queue_owner || !next->service_state->keyed;
+      if (!sent && same_targets_for_all && next->tried_targets.empty()) {
         return;
       }
     }
--- a/src/core/roster_policy.cc
+++ b/src/core/roster_policy.cc
@@ -28,7 +28,7 @@
     }
   }
   for (const member& host_run : members) {
-    if (host_run != facts.self && facts.gone(host_run)) {
+    if (host_run != facts.self && facts.is_unavailable(host_run)) {
       return host_run;
     }
   }
@@ -60,20 +60,20 @@
 /// ascend, so that a steward's term continues; the others get new epochs.
 void AssignEpochs(const std::vector<member>& members, bool all_new,
                   range_record& record) {
-  const std::vector<roster_slot> old_order = std::move(record.order);
-  record.order.clear();
+  const std::vector<roster_slot> old_order = std::move(record.roster);
+  record.roster.clear();
   uint64_t last_epoch = 0;
   for (const member& host_run : members) {
     uint64_t epoch = 0;
     for (const roster_slot& slot : old_order) {
-      if (slot.who == host_run) {
+      if (slot.host_run == host_run) {
         epoch = slot.epoch;
       }
     }
     if (all_new || epoch <= last_epoch) {
       epoch = record.next_epoch++;
     }
-    record.order.push_back(roster_slot{host_run, epoch});
+    record.roster.push_back(roster_slot{host_run, epoch});
     last_epoch = epoch;
   }
 }
@@ -103,16 +103,16 @@
 
 }  // namespace
 
-std::optional<range_record> FirstRecord(std::span<const member> candidates,
-                                        size_t offset) {
+std::optional<range_record> InitialRecord(std::span<const member> candidates,
+                                          size_t offset) {
   if (candidates.empty()) {
     return std::nullopt;
   }
   range_record record;
-  const size_t size = std::min(candidates.size(), kRosterSize);
+  const size_t size = std::min(candidates.size(), kMaxRosterSize);
   for (size_t i = 0; i < size; ++i) {
     const member& host_run = candidates[(offset + i) % candidates.size()];
-    record.order.push_back(roster_slot{host_run, record.next_epoch++});
+    record.roster.push_back(roster_slot{host_run, record.next_epoch++});
   }
   return record;
 }
@@ -120,11 +120,11 @@
 std::optional<range_record> RepairedRecord(const range_record& record,
                                            const roster_facts& facts) {
   range_record next = record;
-  if (!record.previous.empty()) {
+  if (!record.previous_members.empty()) {
     if (!facts.all_saw_record) {
       return std::nullopt;
     }
-    next.previous.clear();
+    next.previous_members.clear();
     return next;
   }
   std::vector<member> members = record.Members();
@@ -138,12 +138,12 @@
     if (joining) {
       std::erase(members, *leaving);
       members.push_back(*joining);
-      next.previous = old_members;
+      next.previous_members = old_members;
     }
-  } else if (members.size() < kRosterSize) {
+  } else if (members.size() < kMaxRosterSize) {
     if (const auto joining = PickCandidate(members, "", facts)) {
       members.push_back(*joining);
-      next.previous = old_members;
+      next.previous_members = old_members;
     }
   }
   if (members == old_members && !facts.outranked) {
@@ -169,7 +169,8 @@
                                         const roster_facts& facts) {
   const bool order_dead = MajorityDead(record.Members(), record, facts);
   const bool previous_dead =
-      !record.previous.empty() && MajorityDead(record.previous, record, facts);
+      !record.previous_members.empty() &&
+      MajorityDead(record.previous_members, record, facts);
   // Authority needs a majority of both rosters, so a dead majority in one of
   // them blocks the range.
   if (!order_dead && !previous_dead) {
@@ -177,21 +178,21 @@
   }
   range_record next = record;
   std::vector<member> members{facts.self};
-  for (const roster_slot& slot : record.order) {
-    const bool survives = !CertainlyDead(slot.who, record, facts);
-    if (survives && !Contains(members, slot.who)) {
-      members.push_back(slot.who);
+  for (const roster_slot& slot : record.roster) {
+    const bool survives = !CertainlyDead(slot.host_run, record, facts);
+    if (survives && !Contains(members, slot.host_run)) {
+      members.push_back(slot.host_run);
     }
   }
   for (const member& candidate : facts.candidates) {
-    if (members.size() < kRosterSize &&
+    if (members.size() < kMaxRosterSize &&
         !ContainsHost(members, candidate.host)) {
       members.push_back(candidate);
     }
   }
-  next.previous.clear();
+  next.previous_members.clear();
   next.declared_dead.clear();
-  next.resets += 1;
+  next.reset_count += 1;
   AssignEpochs(members, /*all_new=*/true, next);
   return next;
 }
--- a/src/core/routing_config.cc
+++ b/src/core/routing_config.cc
@@ -30,8 +30,8 @@
   }
 }
 
-const route* route_table::Find(std::string_view host,
-                               std::string_view path) const {
+const route* route_table::FindRoute(std::string_view host,
+                                    std::string_view path) const {
   const auto found = by_host_.find(NormalizeHost(host));
   if (found == by_host_.end()) {
     return nullptr;
@@ -54,7 +54,7 @@
   return nullptr;
 }
 
-size_t split_dealer::Next(const std::vector<weighted_service>& services) {
+size_t traffic_splitter::Next(const std::vector<weighted_service>& services) {
   if (services.size() < 2) {
     return 0;
   }
--- a/src/core/service_limit.cc
+++ b/src/core/service_limit.cc
@@ -32,42 +32,45 @@
 
 }  // namespace
 
-void service_limit::SetShare(double total_slots, size_t host_count) {
+void service_limit::SetCapacity(double total_slots, size_t host_count) {
   const double share =
       total_slots / static_cast<double>(std::max<size_t>(host_count, 1));
-  least_ = std::max(1.0, share * kMinShareMultiple);
-  most_ = std::max(least_, share * kMaxShareMultiple);
-  limit_ = limit_ == 0.0 ? most_ : std::clamp(limit_, least_, most_);
+  min_limit_ = std::max(1.0, share * kMinShareMultiple);
+  max_limit_ = std::max(min_limit_, share * kMaxShareMultiple);
+  limit_ =
+      limit_ == 0.0 ? max_limit_ : std::clamp(limit_, min_limit_, max_limit_);
 }
 
-double service_limit::MostLoad(duration objective) const {
-  if (unqueued_ <= duration{0}) {
+double service_limit::LoadThreshold(duration objective) const {
+  if (unqueued_latency_ <= duration{0}) {
     return kMaxLoadThreshold;
   }
-  const double relative_slack = std::chrono::duration<double>(objective) /
-                                    std::chrono::duration<double>(unqueued_) -
-                                1.0;
+  const double relative_slack =
+      std::chrono::duration<double>(objective) /
+          std::chrono::duration<double>(unqueued_latency_) -
+      1.0;
   return std::clamp(1.0 + kQueueFraction * relative_slack, kMinLoadThreshold,
                     kMaxLoadThreshold);
 }
 
-void service_limit::OnAnswer(const told_answer& response, int in_flight) {
-  is_told_ = true;
-  mean_load_ += kLoadWeight * (response.load - mean_load_);
-  if (response.served && response.load <= 1.0) {
-    unqueued_ =
-        unqueued_ == duration{0}
-            ? response.took
-            : unqueued_ + Part(response.took - unqueued_, kUnqueuedWeight);
+void service_limit::OnResponse(const response_sample& response, int in_flight) {
+  has_load_reports_ = true;
+  mean_load_ += kLoadWeight * (response.load_per_slot - mean_load_);
+  if (response.served && response.load_per_slot <= 1.0) {
+    unqueued_latency_ =
+        unqueued_latency_ == duration{0}
+            ? response.latency
+            : unqueued_latency_ +
+                  Part(response.latency - unqueued_latency_, kUnqueuedWeight);
   }
-  const double excess = mean_load_ - MostLoad(response.objective);
+  const double excess = mean_load_ - LoadThreshold(response.objective);
   if (excess > 0.0) {
     const double decrease_fraction =
         std::min(kMaxDecreaseFraction, kDecreaseFactor * excess);
-    limit_ = std::max(least_, limit_ * (1.0 - decrease_fraction));
+    limit_ = std::max(min_limit_, limit_ * (1.0 - decrease_fraction));
   } else if (in_flight + 1 >= limit_ / 2) {
     // A limit that is not reached does not show what the targets can handle.
-    limit_ = std::min(most_, limit_ + kIncrease / limit_);
+    limit_ = std::min(max_limit_, limit_ + kIncrease / limit_);
   }
 }
 
--- a/src/core/target_availability.cc
+++ b/src/core/target_availability.cc
@@ -6,13 +6,13 @@
 
 cold_policy ColdPolicyOf(const service_settings& service) {
   return {.cold_time = service.cold_time,
-          .bears_few_requests = service.cold_rate > 0.0};
+          .is_fragile_when_cold = service.cold_requests_per_second > 0.0};
 }
 
 void target_availability::OnEntry(const target_entry& entry,
                                   const cold_policy& policy, time_point now) {
-  if (policy.bears_few_requests) {
-    cold_until_ = std::max(cold_until_, now + entry.warm_up);
+  if (policy.is_fragile_when_cold) {
+    cold_until_ = std::max(cold_until_, now + entry.remaining_cold_time);
   }
 }
 
@@ -22,7 +22,7 @@
     evacuated_since_ = now;
   } else if (!evacuated && evacuated_since_) {
     evacuated_since_.reset();
-    if (policy.bears_few_requests) {
+    if (policy.is_fragile_when_cold) {
       cold_until_ = std::max(cold_until_, now + policy.cold_time);
     }
   }
--- a/src/core/target_health.cc
+++ b/src/core/target_health.cc
@@ -78,23 +78,23 @@
 target_health::target_health(int slots, duration initial_latency)
     : slots_(std::max(slots, 1)),
       limit_(2.0 * std::max(slots, 1)),
-      most_(kDefaultMaxLimit),
-      least_(kDefaultMinLimit),
-      latency_(initial_latency) {}
+      max_limit_(kDefaultMaxLimit),
+      min_limit_(kDefaultMinLimit),
+      mean_latency_(initial_latency) {}
 
-void target_health::SetShare(int max_requests, size_t host_count) {
+void target_health::SetLimits(int max_requests, size_t host_count) {
   const double slots_per_host =
       static_cast<double>(slots_) /
       static_cast<double>(std::max<size_t>(host_count, 1));
-  most_ = std::max(kMinMaxLimit, kMaxSlotsMultiple * slots_per_host);
+  max_limit_ = std::max(kMinMaxLimit, kMaxSlotsMultiple * slots_per_host);
   if (max_requests > 0) {
-    most_ = std::min<double>(most_, max_requests);
+    max_limit_ = std::min<double>(max_limit_, max_requests);
   }
-  least_ = std::min(slots_per_host, most_);
-  limit_ = std::clamp(limit_, least_, most_);
+  min_limit_ = std::min(slots_per_host, max_limit_);
+  limit_ = std::clamp(limit_, min_limit_, max_limit_);
 }
 
-bool target_health::HasRoom(time_point now) const {
+bool target_health::HasCapacity(time_point now) const {
   if (limit_ >= 1.0) {
     return in_flight_ < static_cast<int>(limit_);
   }
@@ -103,157 +103,162 @@
 
 time_point target_health::PausedUntil() const {
   if (limit_ >= 1.0) {
-    return last_sent_;
+    return last_sent_at_;
   }
   // A limit below 1 means one request at a time, with a pause after it.
-  return last_sent_ + duration{static_cast<int64_t>(
-                          static_cast<double>(latency_.count()) / limit_)};
+  return last_sent_at_ +
+         duration{static_cast<int64_t>(
+             static_cast<double>(mean_latency_.count()) / limit_)};
 }
 
-void target_health::NoteShed() {
+void target_health::OnShed() {
   if (limit_ > 1.0) {
-    limit_ = std::max({1.0, least_, limit_ * kShedDecreaseFactor});
+    limit_ = std::max({1.0, min_limit_, limit_ * kShedDecreaseFactor});
   }
-  if (++sheds_in_row_ >= kMinShedsForPause) {
-    const double min_limit = std::min(1.0, kFullOversubscription * least_);
+  if (++consecutive_sheds_ >= kMinShedsForPause) {
+    const double min_limit = std::min(1.0, kFullOversubscription * min_limit_);
     limit_ = std::max(min_limit, std::min(limit_, 1.0) * kFullDecreaseFactor);
   }
 }
 
 void target_health::OnSent(time_point now) {
   ++in_flight_;
-  last_sent_ = now;
-  sent_.push_back(now);
+  last_sent_at_ = now;
+  sent_times_.push_back(now);
 }
 
 void target_health::AddLatency(duration latency) {
   const double mean =
-      static_cast<double>(latency_.count()) * (1.0 - kLatencyWeight) +
+      static_cast<double>(mean_latency_.count()) * (1.0 - kLatencyWeight) +
       static_cast<double>(latency.count()) * kLatencyWeight;
-  const duration distance = std::chrono::abs(latency - latency_);
-  deviation_ += std::chrono::duration_cast<duration>((distance - deviation_) *
-                                                     kLatencyWeight);
-  latency_ = duration{static_cast<int64_t>(mean)};
+  const duration distance = std::chrono::abs(latency - mean_latency_);
+  latency_deviation_ += std::chrono::duration_cast<duration>(
+      (distance - latency_deviation_) * kLatencyWeight);
+  mean_latency_ = duration{static_cast<int64_t>(mean)};
 }
 
-void target_health::Shrink(double factor) {
-  limit_ = std::max(least_, limit_ * factor);
+void target_health::ReduceLimit(double factor) {
+  limit_ = std::max(min_limit_, limit_ * factor);
 }
 
 void target_health::OnEnded(attempt_verdict verdict, time_point sent_at,
                             duration objective, time_point now) {
   in_flight_ = std::max(in_flight_ - 1, 0);
-  const auto found = std::find(sent_.begin(), sent_.end(), sent_at);
-  if (found != sent_.end()) {
-    sent_.erase(found);
+  const auto found = std::find(sent_times_.begin(), sent_times_.end(), sent_at);
+  if (found != sent_times_.end()) {
+    sent_times_.erase(found);
   }
   const duration latency = now - sent_at;
   switch (verdict) {
     case attempt_verdict::kServed:
       ++served_;
-      pause_ = duration{0};
-      not_owner_in_row_ = 0;
-      if (std::exchange(sheds_in_row_, 0) >= kMinShedsForPause) {
+      connect_backoff_ = duration{0};
+      consecutive_not_owner_ = 0;
+      if (std::exchange(consecutive_sheds_, 0) >= kMinShedsForPause) {
         limit_ = std::max(limit_, 1.0);
       }
-      failure_share_ *= 1.0 - kFailureWeight;
+      failure_ratio_ *= 1.0 - kFailureWeight;
       AddLatency(latency);
-      recent_sum_ += latency;
+      recent_latency_sum_ += latency;
       ++recent_count_;
       if (latency >
           std::chrono::duration_cast<duration>(objective * kLateFraction)) {
-        Shrink(kLateDecreaseFactor);
+        ReduceLimit(kLateDecreaseFactor);
       } else {
-        limit_ = std::min(most_, limit_ * kIncreaseFactor);
+        limit_ = std::min(max_limit_, limit_ * kIncreaseFactor);
       }
       return;
     case attempt_verdict::kShed:
-      NoteShed();
-      AddLatency(std::max(latency_, objective / 2));
+      OnShed();
+      AddLatency(std::max(mean_latency_, objective / 2));
       return;
     case attempt_verdict::kFailed:
     case attempt_verdict::kBroken:
-      if (verdict == attempt_verdict::kBroken && sheds_in_row_ > 0) {
+      if (verdict == attempt_verdict::kBroken && consecutive_sheds_ > 0) {
         // A target that sheds requests also resets further connections.
-        NoteShed();
+        OnShed();
       }
-      failure_share_ += kFailureWeight * (1.0 - failure_share_);
-      if (failure_share_ > kMaxFailureRatio) {
+      failure_ratio_ += kFailureWeight * (1.0 - failure_ratio_);
+      if (failure_ratio_ > kMaxFailureRatio) {
         failing_until_ = now + kFailingPeriod;
-        failure_share_ = kMaxFailureRatio / 2;
+        failure_ratio_ = kMaxFailureRatio / 2;
       }
       return;
     case attempt_verdict::kNotOwner:
-      if (++not_owner_in_row_ < kMaxConsecutiveNotOwner) {
+      if (++consecutive_not_owner_ < kMaxConsecutiveNotOwner) {
         return;
       }
       [[fallthrough]];
     case attempt_verdict::kUnreachable:
     case attempt_verdict::kMisdirected:
-      pause_ = std::clamp(pause_ * 2, kInitialBackoff, kMaxBackoff);
-      unreachable_until_ = now + pause_;
+      connect_backoff_ =
+          std::clamp(connect_backoff_ * 2, kInitialBackoff, kMaxBackoff);
+      unreachable_until_ = now + connect_backoff_;
       return;
     case attempt_verdict::kTimedOut:
       AddLatency(latency);
-      Shrink(kLateDecreaseFactor);
+      ReduceLimit(kLateDecreaseFactor);
       return;
     case attempt_verdict::kAbandoned:
       return;
   }
 }
 
-std::pair<duration, uint32_t> target_health::TakeRecent() {
+std::pair<duration, uint32_t> target_health::TakeRecentLatency() {
   const uint32_t count = std::exchange(recent_count_, 0);
-  const duration sum = std::exchange(recent_sum_, duration{0});
+  const duration sum = std::exchange(recent_latency_sum_, duration{0});
   return {count == 0 ? duration{0} : sum / count, count};
 }
 
-void target_health::OnTold(const told_load& load, time_point reported_at,
-                           duration all_hosts_latency) {
+void target_health::OnLoadReport(const reported_load& load,
+                                 time_point reported_at,
+                                 duration all_hosts_latency) {
   if (all_hosts_latency > duration{0}) {
-    shared_latency_ = all_hosts_latency;
+    all_hosts_latency_ = all_hosts_latency;
   }
-  if (reported_at <= told_at_) {
+  if (reported_at <= reported_at_) {
     return;
   }
-  told_ = load;
-  told_at_ = reported_at;
-  usual_slowness_ += kSlownessWeight * (load.slowness - usual_slowness_);
+  reported_load_ = load;
+  reported_at_ = reported_at;
+  mean_slowness_ += kSlownessWeight * (load.slowness - mean_slowness_);
 }
 
-const told_load* target_health::Told(time_point now) const {
-  const bool fresh = told_at_ != time_point{} && now - told_at_ < kReportTtl;
-  return fresh ? &told_ : nullptr;
+const reported_load* target_health::ReportedLoad(time_point now) const {
+  const bool fresh =
+      reported_at_ != time_point{} && now - reported_at_ < kReportTtl;
+  return fresh ? &reported_load_ : nullptr;
 }
 
-duration target_health::ExpectedByTold(time_point now) const {
+duration target_health::ExpectedByReportedLoad(time_point now) const {
   const auto first_after_report =
-      std::upper_bound(sent_.begin(), sent_.end(), told_at_);
-  const auto sent_since = sent_.end() - first_after_report;
+      std::upper_bound(sent_times_.begin(), sent_times_.end(), reported_at_);
+  const auto sent_since = sent_times_.end() - first_after_report;
   const double requests_at_target =
-      static_cast<double>(told_.occupied() + sent_since + 1);
+      static_cast<double>(reported_load_.occupied() + sent_since + 1);
   const double queue_factor = std::max(1.0, requests_at_target / slots_);
-  const double relative_age = std::chrono::duration<double>(now - told_at_) /
-                              std::chrono::duration<double>(kSlownessDecayTime);
+  const double relative_age =
+      std::chrono::duration<double>(now - reported_at_) /
+      std::chrono::duration<double>(kSlownessDecayTime);
   const double weight = std::max(0.0, 1.0 - relative_age);
-  const double slowdown =
-      1.0 + (told_.slowness - usual_slowness_) * weight / usual_slowness_;
+  const double slowdown = 1.0 + (reported_load_.slowness - mean_slowness_) *
+                                    weight / mean_slowness_;
   const duration base_latency =
-      shared_latency_ > duration{0} ? shared_latency_ : latency_;
+      all_hosts_latency_ > duration{0} ? all_hosts_latency_ : mean_latency_;
   return Part(base_latency, queue_factor * slowdown);
 }
 
 duration target_health::ExpectedLatency(time_point now) const {
-  if (Told(now) != nullptr) {
+  if (ReportedLoad(now) != nullptr) {
     const duration oldest_age =
-        sent_.empty() ? duration{0} : duration{now - sent_.front()};
-    return std::max(ExpectedByTold(now), oldest_age);
+        sent_times_.empty() ? duration{0} : duration{now - sent_times_.front()};
+    return std::max(ExpectedByReportedLoad(now), oldest_age);
   }
   // A frozen target sends no responses that could raise its mean latency; only
   // the age of the oldest request in flight reveals it.
-  duration latency = latency_;
-  if (!sent_.empty()) {
-    latency = std::max(latency, now - sent_.front());
+  duration latency = mean_latency_;
+  if (!sent_times_.empty()) {
+    latency = std::max(latency, now - sent_times_.front());
   }
   return latency + latency * in_flight_ / slots_;
 }
--- a/src/core/targets_sharing.cc
+++ b/src/core/targets_sharing.cc
@@ -23,7 +23,7 @@
                               uint64_t new_digest) {
     if (records.empty() ||
         records.back().changes.size() >= kMaxEntriesPerRecord) {
-      records.push_back({.before = digest, .changes = {}});
+      records.push_back({.base_digest = digest, .changes = {}});
     }
     records.back().changes.push_back(std::move(change));
     digest += new_digest - old_digest;
@@ -35,17 +35,17 @@
         object.item ? DigestOf({&*object.item, 1}) : 0;
     new_entries.emplace_hint(new_entries.end(), name,
                              known_entry{object.revision, entry_digest});
-    const auto found = known_.find(name);
-    if (found == known_.end() || found->second.digest != entry_digest) {
+    const auto found = known_entries_.find(name);
+    if (found == known_entries_.end() || found->second.digest != entry_digest) {
       add_change({.name = name,
                   .revision = object.revision,
                   .deleted = false,
                   .entry = object.item},
-                 found == known_.end() ? 0 : found->second.digest,
+                 found == known_entries_.end() ? 0 : found->second.digest,
                  entry_digest);
     }
   }
-  for (const auto& [name, entry] : known_) {
+  for (const auto& [name, entry] : known_entries_) {
     if (!new_entries.contains(name)) {
       // The revision is higher than any that a copy can have of this entry, so
       // that the copy deletes it, and lower than that of an entry created again
@@ -57,7 +57,7 @@
                  entry.digest, 0);
     }
   }
-  known_ = std::move(new_entries);
+  known_entries_ = std::move(new_entries);
   digest_ = digest;
   if (records.size() > kMaxRecordsPerUpdate) {
     records.clear();
@@ -77,7 +77,7 @@
   return entries;
 }
 
-std::vector<store_change<target_entry>> ChangesOf(targets_record record) {
+std::vector<store_change<target_entry>> ToStoreChanges(targets_record record) {
   std::vector<store_change<target_entry>> changes;
   for (shared_entry& change : record.changes) {
     changes.push_back({.object = {.name = std::move(change.name),
--- a/src/core/told_load.cc
+++ b/src/core/told_load.cc
@@ -29,18 +29,19 @@
   return static_cast<uint32_t>(HashText(target));
 }
 
-duration ShareLoadsEvery(size_t host_count) {
+duration LoadSharingPeriod(size_t host_count) {
   return std::max<duration>(
       kMinSharePeriod, kSharePeriodPerHost * static_cast<int64_t>(host_count));
 }
 
-void load_board::Add(std::span<const load_sample> samples, time_point now) {
+void load_aggregator::Add(std::span<const load_sample> samples,
+                          time_point now) {
   for (const load_sample& sample : samples) {
     entry& known = entries_[sample.target];
     const time_point reported_at = now - milliseconds{sample.age_ms};
-    if (reported_at > known.told_at) {
+    if (reported_at > known.reported_at) {
       known.load = sample.load;
-      known.told_at = reported_at;
+      known.reported_at = reported_at;
       known.fresh = true;
     }
     if (sample.served > 0) {
@@ -53,9 +54,9 @@
   }
 }
 
-std::vector<load_sample> load_board::TakeFresh(time_point now) {
+std::vector<load_sample> load_aggregator::TakeFresh(time_point now) {
   std::erase_if(entries_, [&](const auto& target_and_entry) {
-    return now - target_and_entry.second.told_at > kEntryTtl;
+    return now - target_and_entry.second.reported_at > kEntryTtl;
   });
   std::vector<load_sample> fresh;
   for (auto& [target, latest] : entries_) {
@@ -64,7 +65,7 @@
     }
     latest.fresh = false;
     const auto age =
-        std::chrono::duration_cast<milliseconds>(now - latest.told_at);
+        std::chrono::duration_cast<milliseconds>(now - latest.reported_at);
     fresh.push_back({.target = target,
                      .load = latest.load,
                      .age_ms = static_cast<uint32_t>(age.count()),
--- a/src/core/trace_json.h
+++ b/src/core/trace_json.h
@@ -14,8 +14,9 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(member, host, life)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(key_owner, key_hash, target)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(range_map, epoch, seq, buckets, keys)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(promise_ask, range, epoch, revision, to_life,
-                                   asked_at_us, released_by, released_epoch)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(promise_request, range, epoch, revision,
+                                   to_life, asked_at_us, released_by,
+                                   released_epoch)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(promise_answer, range, epoch, revision,
                                    asked_at_us, verdict)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(range_release, range, epoch, actions)
--- a/src/core/waiting_policy.cc
+++ b/src/core/waiting_policy.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-duration OverloadTime(duration objective) {
+duration OverloadDuration(duration objective) {
   return Part(objective, kOverloadMultiple);
 }
 
@@ -31,13 +31,13 @@
   return Part(objective, kOverloadRetryFraction);
 }
 
-duration MostWait(duration objective, duration likely_latency) {
+duration MaxWait(duration objective, duration likely_latency) {
   return std::clamp(objective - likely_latency,
                     Part(objective, kMinWaitFraction),
                     Part(objective, kMaxWaitFraction));
 }
 
-bool GoesNewestFirst(duration oldest_wait, duration objective) {
+bool ShouldSendNewestFirst(duration oldest_wait, duration objective) {
   return oldest_wait > Part(objective, kStandingQueueFraction);
 }
 
--- a/src/edge/edge_daemon.cc
+++ b/src/edge/edge_daemon.cc
@@ -122,33 +122,34 @@
       hosts_(events_, [this](std::string_view bytes) { OnDatagram(bytes); }),
       store_(events_, settings_.store),
       config_(
-          store_, platform::kConfigKind, ReadConfig, {.wait = kConfigWait},
-          [this] { OnConfigChanged(); }, [this] { OnStoreState(); }),
+          store_, platform::kConfigKind, ReadConfig,
+          {.watch_timeout = kConfigWait}, [this] { OnConfigChanged(); },
+          [this] { OnStoreState(); }),
       targets_(
           store_, platform::kTargetKind, platform::ReadTarget,
-          {.wait = kTargetWait,
-           .pace = kTargetPace,
+          {.watch_timeout = kTargetWait,
+           .min_watch_interval = kTargetPace,
            .stale_lists = true,
-           .history = kTargetHistory},
+           .history_retention = kTargetHistory},
           [this] { OnTargetsChanged(); }, [this] { OnStoreState(); }),
       own_(
           store_, platform::kOwnKind, ReadText,
-          {.wait = kConfigWait, .pace = kOwnPace},
+          {.watch_timeout = kConfigWait, .min_watch_interval = kOwnPace},
           [this] { OnOwnObjectsChanged(); }, [this] { OnStoreState(); }),
       evacuation_requests_(
           store_, platform::kEvacuationKind, ReadEvacuation,
-          {.wait = kEvacuationWait, .told_by_others = true}, [] {},
+          {.watch_timeout = kEvacuationWait, .pushed_by_peer = true}, [] {},
           [this] { OnEvacuationsRead(); }),
       router_({.zone = settings_.zone,
                .retries = settings_.retries,
-               .drain = settings_.drain,
+               .drain_timeout = settings_.drain,
                .seed = HashText(settings_.name)}),
       assigner_(
           {.host = settings_.name,
            .zone = settings_.zone,
            .address = settings_.hosts,
            .targets_keep_release_fences = platform::kTargetsKeepReleaseFences,
-           .hold = std::min(settings_.max_hold, kHold),
+           .grant_ttl = std::min(settings_.max_hold, kHold),
            .link_mbps = settings_.link_mbps,
            .seed = HashText(settings_.name)}),
       stop_(settings_.stop_grace) {
@@ -217,10 +218,10 @@
   added.request = std::move(request);
   router_actions actions;
   if (StopPhase(now) >= stop_phase::kRefusing) {
-    actions.emplace_back(own_answer_action{.id = id,
-                                           .answer = own_answer::kNotRun,
-                                           .reason = refusal_reason::kStopping,
-                                           .retry_after = duration{0}});
+    actions.emplace_back(local_reply_action{.id = id,
+                                            .reply = local_reply::kNotRun,
+                                            .reason = refusal_reason::kStopping,
+                                            .retry_after = duration{0}});
   } else {
     router_.OnRequest(platform::Describe(id, added.request), now, actions);
   }
@@ -243,9 +244,9 @@
   ended.call.reset();
   const time_point now = Now();
   const attempt_verdict verdict = platform::Judge(result);
-  const std::optional<told_load> load = result.end == call_end::kAnswered
-                                            ? platform::ReadLoad(result.answer)
-                                            : std::nullopt;
+  const std::optional<reported_load> load =
+      result.end == call_end::kAnswered ? platform::ReadLoad(result.answer)
+                                        : std::nullopt;
   if (verdict == attempt_verdict::kServed ||
       verdict == attempt_verdict::kFailed) {
     ended.answer = std::move(result.answer);
@@ -279,25 +280,25 @@
                          });
 }
 
-void edge_daemon::CarryOne(const own_answer_action& action) {
+void edge_daemon::CarryOne(const local_reply_action& action) {
   const auto found = flights_.find(action.id);
   if (found == flights_.end()) {
     return;
   }
-  metrics_.OnRefused(action.account, action.reason);
+  metrics_.OnRefused(action.summary, action.reason);
   const std::string attempt{platform::AttemptId(found->second.request)};
   LogEvent(event_id::kRequestRefused,
            {{"request", attempt},
             {"reason", ToString(action.reason)},
-            {"service", action.account.service},
-            {"attempts", int64_t{action.account.attempts}},
-            {"age_ms", action.account.age.count() / 1000},
+            {"service", action.summary.service},
+            {"attempts", int64_t{action.summary.attempts}},
+            {"age_ms", action.summary.age.count() / 1000},
             {"target", found->second.target.id},
             {"key", action.key ? int64_t{*action.key} : int64_t{-1}},
             {"config", static_cast<int64_t>(action.config_version)}});
-  own_answer_action said = action;
+  local_reply_action said = action;
   if (action.not_run_if_unwritten && found->second.unwritten) {
-    said.answer = own_answer::kNotRun;
+    said.reply = local_reply::kNotRun;
   } else if (action.not_run_if_unwritten) {
     said.retry_after.reset();
   }
@@ -310,7 +311,7 @@
   if (found == flights_.end()) {
     return;
   }
-  metrics_.OnDelivered(action.account);
+  metrics_.OnDelivered(action.summary);
   flight done = std::move(found->second);
   flights_.erase(found);
   if (done.answer) {
@@ -383,14 +384,14 @@
   const time_point now = Now();
   stop_.Begin(now);
   assigner_actions actions;
-  assigner_.Leave(now, actions);
+  assigner_.PrepareToStop(now, actions);
   Carry(actions);
   leave_ = RunEvery(kLeaveStep, [this] { LeaveStep(); });
 }
 
 stop_phase edge_daemon::StopPhase(time_point now) const {
   const bool work_left = callers_.pending() > 0 || callers_.connections() > 0 ||
-                         assigner_.BusyLeaving();
+                         assigner_.IsReleasingLease();
   return stop_.Phase(now, work_left);
 }
 
@@ -421,19 +422,19 @@
   };
   const router_counts& counts = router_.counts();
   line("requests_total", static_cast<double>(counts.requests));
-  line("repeats_total", static_cast<double>(counts.repeats));
+  line("repeats_total", static_cast<double>(counts.retries));
   line("requests_pending", static_cast<double>(router_.pending()));
   for (const service_gauges& each : router_.Gauges(now)) {
     const std::string labels = MetricLabel("service", each.service);
     AppendMetric(text, "requests_waiting", labels,
-                 static_cast<double>(each.waiting));
+                 static_cast<double>(each.waiting_requests));
     AppendMetric(text, "targets_usable", labels,
                  static_cast<double>(each.usable_targets));
     AppendMetric(text, "targets_cold", labels,
                  static_cast<double>(each.cold_targets));
     AppendMetric(text, "requests_in_flight", labels,
                  static_cast<double>(each.in_flight));
-    AppendMetric(text, "repeats_left", labels, each.repeats_left);
+    AppendMetric(text, "repeats_left", labels, each.retries_left);
   }
   line("zones_evacuated", static_cast<double>(evacuations_.zones().size()));
   line("store_calls_total", static_cast<double>(store_.calls()));
--- a/src/edge/edge_daemon.h
+++ b/src/edge/edge_daemon.h
@@ -99,7 +99,7 @@
 
   void Carry(router_actions& actions);
   void CarryOne(const send_action& action);
-  void CarryOne(const own_answer_action& action);
+  void CarryOne(const local_reply_action& action);
   void CarryOne(const deliver_action& action);
   void CarryOne(const cancel_action& action);
   void Carry(assigner_actions& actions);
@@ -107,8 +107,8 @@
   void CarryOne(const key_order& action);
   void CarryOne(const order_cancel& action);
   void CarryOne(const heartbeat_action& action);
-  void CarryOne(const share_action& action);
-  void CarryOne(const hosts_action& action);
+  void CarryOne(const share_owners_action& action);
+  void CarryOne(const share_hosts_action& action);
   void CarryOne(const assigner_note& action);
 
   void LimitMemory();
@@ -140,7 +140,7 @@
   platform::store_follower<std::string> own_;
   platform::store_follower<evacuation_request> evacuation_requests_;
   evacuations evacuations_;
-  load_board loads_;  ///< While this host holds the lease.
+  load_aggregator loads_;  ///< While this host holds the lease.
   request_router router_;
   key_assigner assigner_;
   std::unordered_map<exchange_id, flight> flights_;
--- a/src/edge/edge_daemon_store.cc
+++ b/src/edge/edge_daemon_store.cc
@@ -38,8 +38,9 @@
 
 void edge_daemon::OnStoreState() {
   const time_point now = Now();
-  const bool answers = config_.copy().answers() && targets_.copy().answers() &&
-                       own_.copy().answers();
+  const bool answers = config_.copy().last_call_succeeded() &&
+                       targets_.copy().last_call_succeeded() &&
+                       own_.copy().last_call_succeeded();
   for (const auto& failed :
        {config_.copy().failed_at(), targets_.copy().failed_at(),
         own_.copy().failed_at()}) {
@@ -59,7 +60,7 @@
     store_answers_ = answers;
     LogEvent(answers ? event_id::kStoreBack : event_id::kStoreLost);
   }
-  assigner_.OnStoreAnswers(answers, now);
+  assigner_.OnStoreAvailability(answers, now);
   Arm();
 }
 
@@ -95,7 +96,7 @@
                  .content = found->second.item->content},
                 Now());
   }
-  assigner_.HeartbeatSoon();
+  assigner_.RequestHeartbeat();
   router_actions actions;
   const time_point now = Now();
   router_.OnConfig(table, now, actions);
@@ -117,12 +118,12 @@
     }
   }
   if (shared_targets_.digest() != before) {
-    assigner_.HeartbeatSoon();
+    assigner_.RequestHeartbeat();
   }
   const bool doubtful = StoreWasAway(now);
   assigner_.OnTargets(listed, doubtful, now);
   router_actions actions;
-  router_.OnTargets(listed, doubtful, targets_.copy().same_until(), now,
+  router_.OnTargets(listed, doubtful, targets_.copy().previous_as_of(), now,
                     actions);
   Carry(actions);
 }
@@ -136,7 +137,7 @@
 
 void edge_daemon::OnOwnObjectsChanged() {
   const time_point now = Now();
-  assigner_.HeartbeatSoon();
+  assigner_.RequestHeartbeat();
   TakeOwnObjects(now);
   router_.OnHostCount(assigner_.HostCount());
   router_actions actions;
@@ -159,7 +160,7 @@
 void edge_daemon::TakeEvacuations(std::set<std::string> zones, time_point as_of,
                                   time_point now) {
   const std::set<std::string> before = evacuations_.zones();
-  if (!evacuations_.Take(std::move(zones), as_of)) {
+  if (!evacuations_.Update(std::move(zones), as_of)) {
     return;
   }
   for (const std::string& zone : evacuations_.zones()) {
@@ -173,7 +174,7 @@
     }
   }
   assigner_.OnEvacuations(evacuations_.zones(), now);
-  assigner_.HeartbeatSoon();
+  assigner_.RequestHeartbeat();
   router_actions actions;
   router_.OnEvacuations(evacuations_.zones(), now, actions);
   Carry(actions);
@@ -265,9 +266,9 @@
     assigner_.OnHosts(std::move(*hosts), now);
   } else if (auto* targets = std::get_if<targets_record>(&message.value())) {
     // Changes to another list than this host's would leave it wrong.
-    if (targets->before == shared_targets_.digest()) {
+    if (targets->base_digest == shared_targets_.digest()) {
       const time_point as_of = now - milliseconds{targets->age_ms};
-      targets_.OnShared(ChangesOf(std::move(*targets)), as_of);
+      targets_.OnShared(ToStoreChanges(std::move(*targets)), as_of);
     }
   }
 }
@@ -322,14 +323,14 @@
                 own_.copy().current_as_of()});
   const auto age = std::chrono::duration_cast<milliseconds>(now - as_of);
   return store_view{.config_revision = config_revision_,
-                    .targets = shared_targets_.digest(),
-                    .owners = assigner_.OwnersDigest(),
+                    .targets_digest = shared_targets_.digest(),
+                    .owners_digest = assigner_.OwnersDigest(),
                     .age_ms = static_cast<uint32_t>(age.count())};
 }
 
 /// Compares this host's copy with the one that the assigner vouches for.
 void edge_daemon::OnView(const store_view& view, time_point now) {
-  const auto until = VouchedUntil(view, settings_.drain, now);
+  const auto until = ViewValidUntil(view, settings_.drain, now);
   if (!until) {
     return;
   }
@@ -342,8 +343,8 @@
     }
   };
   compare(config_, view.config_revision == config_revision_);
-  compare(targets_, view.targets == shared_targets_.digest());
-  compare(own_, view.owners == assigner_.OwnersDigest());
+  compare(targets_, view.targets_digest == shared_targets_.digest());
+  compare(own_, view.owners_digest == assigner_.OwnersDigest());
   Arm();
 }
 
@@ -367,7 +368,7 @@
                      .lease_revision = assigner_.lease_revision(),
                      .services = {},
                      .targets = {},
-                     .crashes = router_.crashes().TakeNews(Now())};
+                     .crashes = router_.crashes().TakeNewMarks(Now())};
   for (const service_settings& each : router_.table()->config().services) {
     service_load load{.service = each.name,
                       .keys = router_.TakeKeyLoad(each.name)};
@@ -388,7 +389,7 @@
 /// Lets loads be shared soon. Nothing is armed where targets tell none.
 void edge_daemon::ShareLoadsSoon() {
   if (!std::exchange(loads_due_, true)) {
-    share_loads_ = RunAfter(ShareLoadsEvery(assigner_.HostCount()),
+    share_loads_ = RunAfter(LoadSharingPeriod(assigner_.HostCount()),
                             [this] { ShareLoads(); });
   }
 }
@@ -444,7 +445,7 @@
     const time_point now = Now();
     assigner_actions actions;
     assigner_.OnWriteEnded(report, now, actions);
-    assigner_.HeartbeatSoon();
+    assigner_.RequestHeartbeat();
     router_actions routed;
     ShareKeyMaps(now, routed);
     Carry(routed);
@@ -486,7 +487,7 @@
 void edge_daemon::ShareLease() {
   const auto& lease = assigner_.lease();
   if (lease) {
-    ShareObject({.kind = shared_kind::kOwn,
+    ShareObject({.kind = shared_kind::kSystem,
                  .name = std::string{key_assigner::kLeaseName},
                  .revision = assigner_.lease_revision(),
                  .content = FormatLease(*lease)},
@@ -494,14 +495,14 @@
   }
 }
 
-void edge_daemon::CarryOne(const hosts_action& action) {
+void edge_daemon::CarryOne(const share_hosts_action& action) {
   hosts_.Send(action.address, FormatHostMessage(action.record));
 }
 
 void edge_daemon::CarryOne(const assigner_note& action) {
   using kind = assigner_note::kind;
   event_id event = event_id::kAssignerBegan;
-  switch (action.what) {
+  switch (action.note_kind) {
     case kind::kLeaseTaken:
       event = event_id::kAssignerBegan;
       ShareLease();
@@ -538,7 +539,7 @@
                    {"detail", action.detail}});
 }
 
-void edge_daemon::CarryOne(const share_action& action) {
+void edge_daemon::CarryOne(const share_owners_action& action) {
   SendToHosts(action.hops, FormatHostMessage(action.record));
 }
 
@@ -546,7 +547,7 @@
   assigner_heartbeat heartbeat = action.heartbeat;
   heartbeat.view = View(Now());
   heartbeat.evacuated = Evacuated(Now());
-  heartbeat.crashes = router_.crashes().Marks(kMarksInHeartbeat, Now());
+  heartbeat.crashes = router_.crashes().LatestMarks(kMarksInHeartbeat, Now());
   SendToHosts(action.hops, FormatHostMessage(heartbeat));
 }
 
--- a/src/edge/edge_metrics.cc
+++ b/src/edge/edge_metrics.cc
@@ -3,21 +3,21 @@
 namespace foxtailspread {
 
 edge_metrics::service_metrics& edge_metrics::Count(
-    const request_account& account) {
+    const request_summary& account) {
   service_metrics& to = services_[account.service];
   to.sends += static_cast<uint64_t>(account.attempts);
   to.latency.Add(account.age);
-  if (account.wait) {
-    to.wait.Add(*account.wait);
+  if (account.queue_time) {
+    to.wait.Add(*account.queue_time);
   }
   return to;
 }
 
-void edge_metrics::OnDelivered(const request_account& account) {
+void edge_metrics::OnDelivered(const request_summary& account) {
   ++Count(account).delivered;
 }
 
-void edge_metrics::OnRefused(const request_account& account,
+void edge_metrics::OnRefused(const request_summary& account,
                              refusal_reason reason) {
   ++Count(account).refused[reason];
 }
--- a/src/edge/edge_metrics.h
+++ b/src/edge/edge_metrics.h
@@ -17,9 +17,9 @@
 class edge_metrics {
  public:
   /// A target's answer was passed on.
-  void OnDelivered(const request_account& account);
+  void OnDelivered(const request_summary& account);
   /// This host answered itself. `reason` is kNone for a target's own failure.
-  void OnRefused(const request_account& account, refusal_reason reason);
+  void OnRefused(const request_summary& account, refusal_reason reason);
   /// The loop ran `late` after it was due.
   void OnLoopLag(duration late) { loop_lag_.Add(late); }
   void OnKeysMoved() { ++keys_moved_; }
@@ -37,7 +37,7 @@
   };
 
   /// Counts what all ends have in common; returns the service's metrics.
-  service_metrics& Count(const request_account& account);
+  service_metrics& Count(const request_summary& account);
 
   std::map<std::string, service_metrics> services_;
   bounded_histogram loop_lag_;
--- a/src/programs/foxtail-platform/platform_service.cc
+++ b/src/programs/foxtail-platform/platform_service.cc
@@ -109,7 +109,7 @@
 platform_service::platform_service(const platform_settings& settings)
     : meter_(settings.read_rate, settings.write_rate, Now()),
       hosts_(settings.hosts_lag),
-      server_({.max_body = kMaxObjectValue}) {
+      server_({.max_body = kMaxObjectValueBytes}) {
   RouteCall("/v1/objects/", &platform_service::Objects);
   RouteCall("/v1/changes", &platform_service::Changes);
   RouteCall("/v1/hosts", &platform_service::Hosts);
@@ -121,7 +121,7 @@
 void platform_service::RouteCall(const char* prefix, call_function call) {
   server_.Route(prefix, [this, call](const http_request& request,
                                      const responder_ptr& to) {
-    if (faults_.Drops(request.Header("Foxtail-Zone").value_or(""))) {
+    if (faults_.DropsCallsFrom(request.Header("Foxtail-Zone").value_or(""))) {
       to->Abort();
       return;
     }
@@ -228,7 +228,7 @@
                                    const write_outcome& outcome,
                                    const responder_ptr& to) {
   const bool written = outcome.verdict == write_verdict::kWritten;
-  if (written && faults_.LoseWriteAnswer()) {
+  if (written && faults_.ConsumeLostWriteAnswer()) {
     to->Abort();
   } else {
     Answer(to, DescribeWrite(key, outcome));
@@ -246,7 +246,7 @@
   const auto since = ParseUnsigned(request.Query("since").value_or("0"));
   const auto wait = ParseUnsigned(request.Query("wait_ms").value_or("0"));
   const auto longest =
-      std::chrono::duration_cast<std::chrono::milliseconds>(kMaxWatchTime);
+      std::chrono::duration_cast<std::chrono::milliseconds>(kMaxWatchWait);
   if (!since || !wait || *wait > static_cast<uint64_t>(longest.count())) {
     Answer(to, ErrorAnswer(kHttpBadRequest,
                            {error_code::kOutOfRange, "since, wait_ms",
@@ -258,7 +258,7 @@
     AnswerChanges(*since, to);
     return;
   }
-  meter_.ReadBecameWatch();
+  meter_.RecountReadAsWatch();
   const watch_ticket ticket =
       watches_.Add(*since, std::chrono::milliseconds{*wait}, Now());
   waiting_.emplace(ticket, waiting_watch{to, *since});
@@ -290,7 +290,7 @@
     }
   }
   next_watch_.Cancel();
-  const time_point next = watches_.NextEvent();
+  const time_point next = watches_.NextTimeout();
   if (next != time_point::max()) {
     next_watch_ = RunAfter(next - Now(), [this] { AnswerDueWatches(); });
   }
@@ -332,7 +332,8 @@
     const responder_ptr to = next->second.to;
     const watch_ticket ticket = next->first;
     ++next;
-    if (faults_.Drops(to->Request().Header("Foxtail-Zone").value_or(""))) {
+    if (faults_.DropsCallsFrom(
+            to->Request().Header("Foxtail-Zone").value_or(""))) {
       watches_.Remove(ticket);
       waiting_.erase(ticket);
       to->Abort();
--- a/src/programs/foxtailspreadd/admin_pages.cc
+++ b/src/programs/foxtailspreadd/admin_pages.cc
@@ -158,8 +158,9 @@
     json entry{{"range", name}, {"acting", node.acting}};
     if (node.record) {
       json order = json::array();
-      for (const roster_slot& slot : node.record->order) {
-        order.push_back(json{{"host", slot.who.host}, {"epoch", slot.epoch}});
+      for (const roster_slot& slot : node.record->roster) {
+        order.push_back(
+            json{{"host", slot.host_run.host}, {"epoch", slot.epoch}});
       }
       entry["order"] = std::move(order);
       entry["recorded_seq"] = node.record->map.seq;
@@ -167,7 +168,7 @@
     if (node.acting) {
       entry["epoch"] = node.steward->epoch();
       entry["seq"] = node.steward->map().seq;
-      entry["unowned"] = node.steward->UnownedBuckets();
+      entry["unowned"] = node.steward->UnownedBucketCount();
       entry["owners"] = node.steward->map().buckets;
     }
     ranges.push_back(std::move(entry));
@@ -178,9 +179,9 @@
 json admin_pages::Hosts() const {
   const time_point now = Now();
   json hosts = json::array();
-  for (const std::string& name : host_.directory().Names()) {
+  for (const std::string& name : host_.directory().HostNames()) {
     const host_entry* entry = host_.directory().Find(name);
-    const auto silence = host_.directory().Silence(name, now);
+    const auto silence = host_.directory().TimeSinceLastMessage(name, now);
     hosts.push_back(
         json{{"name", name},
              {"zone", entry->zone},
--- a/src/programs/foxtailspreadd/host_daemon.cc
+++ b/src/programs/foxtailspreadd/host_daemon.cc
@@ -73,33 +73,34 @@
 }
 
 /// Waits for a target and tells what its answer means.
-attempt_end EndOf(const http_call_result& result) {
+attempt_outcome EndOf(const http_call_result& result) {
   switch (result.outcome) {
     case http_outcome::kAnswered:
       break;
     case http_outcome::kConnectFailed:
-      return attempt_end::kConnectFailed;
+      return attempt_outcome::kConnectFailed;
     case http_outcome::kTimedOut:
       return result.delivery == http_delivery::kNotWritten
-                 ? attempt_end::kConnectFailed
-                 : attempt_end::kTimedOut;
+                 ? attempt_outcome::kConnectFailed
+                 : attempt_outcome::kTimedOut;
     case http_outcome::kBroken:
     case http_outcome::kTooLarge:
       return result.delivery == http_delivery::kNotWritten
-                 ? attempt_end::kConnectFailed
-                 : attempt_end::kBroken;
+                 ? attempt_outcome::kConnectFailed
+                 : attempt_outcome::kConnectionBroken;
   }
   const bool not_started = result.Header("Foxtail-Not-Started").has_value();
   if (result.status == kHttpConflict) {
-    return attempt_end::kRefusedOwner;
+    return attempt_outcome::kNotOwner;
   }
   if (result.status == kHttpUnavailable && not_started) {
-    return attempt_end::kNotStarted;
+    return attempt_outcome::kNotStarted;
   }
   if (result.status == kHttpGatewayTimeout) {
-    return not_started ? attempt_end::kNotStarted : attempt_end::kTimedOut;
+    return not_started ? attempt_outcome::kNotStarted
+                       : attempt_outcome::kTimedOut;
   }
-  return attempt_end::kAnswered;
+  return attempt_outcome::kAnswered;
 }
 
 request_outcome OutcomeOf(const http_call_result& result) {
@@ -414,8 +415,8 @@
   // the decision, and its authority with it.
   if (found == requests_.end() ||
       now.time_since_epoch().count() >= action.not_after_us) {
-    Handle(attempt_ended{action.attempt_id, attempt_end::kConnectFailed, 0, "",
-                         ""});
+    Handle(attempt_ended{action.attempt_id, attempt_outcome::kConnectFailed, 0,
+                         "", ""});
     return;
   }
   http_call_request call;
@@ -450,7 +451,7 @@
   event.attempt_id = attempt_id;
   event.end = EndOf(result);
   event.status = result.status;
-  if (event.end == attempt_end::kAnswered) {
+  if (event.end == attempt_outcome::kAnswered) {
     const std::string type(result.Header("Content-Type").value_or(kJsonType));
     if (keep_body) {
       event.body = std::move(result.body);
@@ -470,7 +471,8 @@
   }
   found->second->Cancel();
   attempts_.erase(found);
-  Handle(attempt_ended{action.attempt_id, attempt_end::kCancelled, 0, "", ""});
+  Handle(
+      attempt_ended{action.attempt_id, attempt_outcome::kCancelled, 0, "", ""});
 }
 
 void host_daemon::Do(const forward_action& action) {
@@ -514,7 +516,7 @@
     event.end = result.delivery == http_delivery::kNotWritten
                     ? forward_end::kConnectFailed
                     : forward_end::kBroken;
-  } else if (result.status == kMisdirected) {
+  } else if (result.status == kNotStewardHttpStatus) {
     event.end = forward_end::kNotSteward;
   } else {
     event.end = forward_end::kAnswered;
--- a/src/programs/foxtailspreadd/peer_codec.cc
+++ b/src/programs/foxtailspreadd/peer_codec.cc
@@ -8,7 +8,7 @@
 constexpr uint32_t kLastVerdict =
     static_cast<uint32_t>(promise_verdict::kOtherLife);
 
-void EncodeAsk(const promise_ask& ask, proto::PromiseAsk& wire) {
+void EncodeAsk(const promise_request& ask, proto::PromiseAsk& wire) {
   wire.set_range(ask.range);
   wire.set_epoch(ask.epoch);
   wire.set_revision(ask.revision);
@@ -19,8 +19,8 @@
   wire.set_released_epoch(ask.released_epoch);
 }
 
-promise_ask DecodeAsk(const proto::PromiseAsk& wire) {
-  promise_ask ask;
+promise_request DecodeAsk(const proto::PromiseAsk& wire) {
+  promise_request ask;
   ask.range = wire.range();
   ask.epoch = wire.epoch();
   ask.revision = wire.revision();
@@ -118,7 +118,7 @@
   wire.set_wants_changes(message.wants_changes);
   wire.set_leaving(message.leaving);
   wire.set_probe(message.probe);
-  for (const promise_ask& ask : message.asks) {
+  for (const promise_request& ask : message.asks) {
     EncodeAsk(ask, *wire.add_asks());
   }
   for (const promise_answer& answer : message.answers) {
--- a/tests/action_table_test.cc
+++ b/tests/action_table_test.cc
@@ -18,10 +18,10 @@
   action_limits limits;
   limits.max_entries = 6;
   limits.max_pinned_per_organisation = 4;
-  limits.max_waiters = 3;
-  limits.max_answer_size = 8;
-  limits.max_answer_bytes = 20;
-  limits.retention = kRetention;
+  limits.max_waiters_per_action = 3;
+  limits.max_answer_body_bytes = 8;
+  limits.max_total_answer_bytes = 20;
+  limits.retention_time = kRetention;
   limits.resend_window = kResendWindow;
   limits.max_logged_sequences = 64;
   return limits;
@@ -45,7 +45,7 @@
 
   void SetUp() override {
     table_.ResetTenure({"crews@trnje", kEpoch, now_});
-    table_.Reserve(1000);
+    table_.ReserveSequences(1000);
   }
 
   action_decision Send(const action_id& id, uint64_t waiter = 1,
@@ -54,11 +54,11 @@
   }
   std::vector<uint64_t> RecordEnd(const action_id& id, action_outcome outcome,
                                   const answer_ptr& answer = nullptr) {
-    return table_.Ended(now_, "vlahovic", id.text, outcome, answer);
+    return table_.RecordEnd(now_, "vlahovic", id.text, outcome, answer);
   }
   action_table::not_run_report RecordNotRun(const action_id& id,
                                             uint32_t attempt) {
-    return table_.NotRun(now_, "vlahovic", id.text, attempt);
+    return table_.RecordNotRun(now_, "vlahovic", id.text, attempt);
   }
 
   time_point now_{seconds(100)};
@@ -155,16 +155,17 @@
 // have the action done a second time.
 TEST_F(ActionTableTest, UnknownAfterCancelledWaitNeverBecomesNotRun) {
   const action_decision first = Send(id_, 1);
-  table_.Started("vlahovic", id_.text, first.attempt);
-  EXPECT_EQ(table_.GiveUp("vlahovic", id_.text, 1),
-            give_up_step::kAnswerUnknown);
+  table_.RecordStart("vlahovic", id_.text, first.attempt);
+  EXPECT_EQ(table_.CancelWait("vlahovic", id_.text, 1),
+            cancel_wait_step::kAnswerUnknown);
   EXPECT_EQ(RecordNotRun(id_, first.attempt).outcome, action_outcome::kUnknown);
   EXPECT_EQ(Send(id_, 2).outcome, action_outcome::kUnknown);
 }
 
 TEST_F(ActionTableTest, CancelledWaitOfOnlyWaiterBeforeStartCancelsAction) {
   const action_decision first = Send(id_, 1);
-  EXPECT_EQ(table_.GiveUp("vlahovic", id_.text, 1), give_up_step::kCancel);
+  EXPECT_EQ(table_.CancelWait("vlahovic", id_.text, 1),
+            cancel_wait_step::kCancel);
   EXPECT_EQ(RecordNotRun(id_, first.attempt).outcome, action_outcome::kNotRun);
 }
 
@@ -293,7 +294,7 @@
       RecordOutcome(waiters_[waiter], action_outcome::kUnknown);
     }
     for (uint64_t i = 0; i < kIdsPerTenure; ++i) {
-      const uint64_t sequence = table_.Reserve(1);
+      const uint64_t sequence = table_.ReserveSequences(1);
       actions_.push_back({{"m" + std::to_string(actions_.size()),
                            minted_action{"r", epoch_, sequence}}});
       actions_.push_back(
@@ -340,7 +341,7 @@
       violation_ = "second run of " + a.id.text;
     }
     if (t->epoch == epoch_) {
-      table_.Started("o", a.id.text, t->number);
+      table_.RecordStart("o", a.id.text, t->number);
     }
   }
 
@@ -351,8 +352,8 @@
     }
     if (t->epoch == epoch_) {
       const answer_ptr answer = MakeAnswer(std::string(selector % 12, 'x'));
-      RecordOutcomes(table_.Ended(now_, "o", actions_[t->action].id.text,
-                                  action_outcome::kDone, answer),
+      RecordOutcomes(table_.RecordEnd(now_, "o", actions_[t->action].id.text,
+                                      action_outcome::kDone, answer),
                      action_outcome::kDone);
     }
     attempts_.erase(attempts_.begin() + (t - attempts_.data()));
@@ -361,8 +362,8 @@
   void LoseAnswer(uint64_t selector) {
     attempt* t = SelectAttempt(selector);
     if (t != nullptr && t->epoch == epoch_) {
-      RecordOutcomes(table_.Ended(now_, "o", actions_[t->action].id.text,
-                                  action_outcome::kUnknown, nullptr),
+      RecordOutcomes(table_.RecordEnd(now_, "o", actions_[t->action].id.text,
+                                      action_outcome::kUnknown, nullptr),
                      action_outcome::kUnknown);
     }
   }
@@ -375,7 +376,7 @@
     const attempt rejected = *t;
     attempts_.erase(attempts_.begin() + (t - attempts_.data()));
     if (rejected.epoch == epoch_) {
-      const auto report = table_.NotRun(
+      const auto report = table_.RecordNotRun(
           now_, "o", actions_[rejected.action].id.text, rejected.number);
       RecordOutcomes(report.waiters, report.outcome);
     }
@@ -387,9 +388,9 @@
     }
     const uint64_t waiter = waiters_.size() - 1 - selector % waiters_.size();
     const size_t index = waiters_[waiter];
-    const give_up_step step =
-        table_.GiveUp("o", actions_[index].id.text, waiter);
-    if (step == give_up_step::kAnswerUnknown) {
+    const cancel_wait_step step =
+        table_.CancelWait("o", actions_[index].id.text, waiter);
+    if (step == cancel_wait_step::kAnswerUnknown) {
       RecordOutcome(index, action_outcome::kUnknown);
     }
   }
@@ -471,38 +472,40 @@
 }
 
 struct earlier_epochs_count_as_new : at_most_once_rules {
-  static unseen_action JudgeUnseen(const action_id& id,
-                                   const table_memory& context,
-                                   time_point now) {
+  static unseen_action ClassifyUnseen(const action_id& id,
+                                      const unseen_action_context& context,
+                                      time_point now) {
     const bool minted_earlier =
         id.minted && id.minted->epoch < context.tenure.epoch;
-    return minted_earlier ? unseen_action::kNeverBegun
-                          : at_most_once_rules::JudgeUnseen(id, context, now);
+    return minted_earlier
+               ? unseen_action::kNeverBegun
+               : at_most_once_rules::ClassifyUnseen(id, context, now);
   }
 };
 
 struct new_tenures_run_caller_made_ids : at_most_once_rules {
-  static unseen_action JudgeUnseen(const action_id& id,
-                                   const table_memory& context,
-                                   time_point now) {
-    return id.minted ? at_most_once_rules::JudgeUnseen(id, context, now)
+  static unseen_action ClassifyUnseen(const action_id& id,
+                                      const unseen_action_context& context,
+                                      time_point now) {
+    return id.minted ? at_most_once_rules::ClassifyUnseen(id, context, now)
                      : unseen_action::kNeverBegun;
   }
 };
 
 struct removed_entries_count_as_new : at_most_once_rules {
-  static unseen_action JudgeUnseen(const action_id& id,
-                                   const table_memory& context,
-                                   time_point now) {
+  static unseen_action ClassifyUnseen(const action_id& id,
+                                      const unseen_action_context& context,
+                                      time_point now) {
     const bool minted_in_tenure =
         id.minted && id.minted->epoch == context.tenure.epoch;
-    return minted_in_tenure ? unseen_action::kNeverBegun
-                            : at_most_once_rules::JudgeUnseen(id, context, now);
+    return minted_in_tenure
+               ? unseen_action::kNeverBegun
+               : at_most_once_rules::ClassifyUnseen(id, context, now);
   }
 };
 
 struct not_run_after_unknown : at_most_once_rules {
-  static action_outcome JudgeNotRun(bool) { return action_outcome::kNotRun; }
+  static action_outcome NotRunOutcome(bool) { return action_outcome::kNotRun; }
 };
 
 TEST(ActionTableScheduleTest, CheckerDetectsBrokenRules) {
--- a/tests/assigner_lease_test.cc
+++ b/tests/assigner_lease_test.cc
@@ -19,7 +19,7 @@
  protected:
   void SetUp() override {
     assigner_.OnServices({testing::KeyedService("s")});
-    assigner_.OnStoreAnswers(true, now_);
+    assigner_.OnStoreAvailability(true, now_);
     ASSERT_TRUE(assigner_.OnObjects({}, now_));
   }
 
@@ -69,7 +69,7 @@
         const bool is_for_u = order->target.id == "u";
         assigner_.OnOrderEnded(
             {.id = order->id,
-             .end = is_for_u ? target_u_answer_ : order_end::kDone},
+             .outcome = is_for_u ? target_u_answer_ : order_outcome::kDone},
             now_, actions);
       } else if (const auto* write = std::get_if<store_write>(&actions[i])) {
         if (write->name == key_assigner::MapName("s")) {
@@ -80,10 +80,10 @@
   }
 
   /// Makes the assigner the lease holder and returns the objects in the store.
-  key_assigner::own_objects TakeLease() {
+  key_assigner::system_objects TakeLease() {
     const store_write lease = AdvanceToLeaseWrite();
     ReportWritten(lease, 11);
-    key_assigner::own_objects objects;
+    key_assigner::system_objects objects;
     objects["assigner"] = {
         .name = "assigner", .revision = 11, .item = lease.content};
     EXPECT_TRUE(assigner_.OnObjects(objects, now_));
@@ -109,24 +109,26 @@
 
   /// Reports to the assigner that the store executed `write`.
   void ReportWritten(const store_write& write, uint64_t revision) {
-    ReportWriteEnd(write, write_end::kWritten, revision);
+    ReportWriteEnd(write, conditional_write_outcome::kWritten, revision);
   }
   /// Reports to the assigner how `write` ended.
-  void ReportWriteEnd(const store_write& write, write_end end,
+  void ReportWriteEnd(const store_write& write, conditional_write_outcome end,
                       uint64_t revision) {
     assigner_actions actions;
     assigner_.OnWriteEnded(
-        {.id = write.id, .end = end, .revision = revision, .content = {}}, now_,
-        actions);
+        {.id = write.id, .outcome = end, .revision = revision, .content = {}},
+        now_, actions);
     AnswerOrders(actions);
   }
 
   key_assigner assigner_{{.host = "h", .zone = "z", .address = "1:2"}};
   time_point now_{seconds{100}};
-  order_end target_u_answer_ = order_end::kDone;  ///< To orders for target "u".
+  order_outcome target_u_answer_ =
+      order_outcome::kDone;  ///< To orders for target "u".
   std::optional<store_write>
       map_write_;  ///< The last one, until it is returned.
-  write_end lease_write_answer_ = write_end::kWritten;
+  conditional_write_outcome lease_write_answer_ =
+      conditional_write_outcome::kWritten;
   uint64_t revision_ = 20;  ///< Of the last lease write in Step().
 };
 
@@ -140,12 +142,12 @@
   ASSERT_TRUE(assigner_.IsHolder(now_));
   const store_write renewal = AdvanceToLeaseWrite();
   assigner_actions leave_actions;
-  assigner_.Leave(now_, leave_actions);
+  assigner_.PrepareToStop(now_, leave_actions);
   const auto release = FindLeaseWrite(leave_actions);
   ASSERT_TRUE(release);
   assigner_actions retry_actions;
   assigner_.OnWriteEnded({.id = release->id,
-                          .end = write_end::kConflict,
+                          .outcome = conditional_write_outcome::kConflict,
                           .revision = 12,
                           .content = renewal.content},
                          now_, retry_actions);
@@ -153,9 +155,9 @@
   ASSERT_TRUE(retry);
   EXPECT_EQ(retry->expected_revision, 12U);
   EXPECT_TRUE(ParseLease(retry->content).value().released);
-  EXPECT_TRUE(assigner_.BusyLeaving());
+  EXPECT_TRUE(assigner_.IsReleasingLease());
   ReportWritten(*retry, 13);
-  EXPECT_FALSE(assigner_.BusyLeaving());
+  EXPECT_FALSE(assigner_.IsReleasingLease());
 }
 
 // The release conflicts with the lease of another host, so there is nothing to
@@ -163,25 +165,25 @@
 TEST_F(AssignerLeaseTest, ReleaseThatConflictsWithOtherHoldersLeaseIsDropped) {
   ReportWritten(AdvanceToLeaseWrite(), 11);
   assigner_actions leave_actions;
-  assigner_.Leave(now_, leave_actions);
+  assigner_.PrepareToStop(now_, leave_actions);
   const auto release = FindLeaseWrite(leave_actions);
   ASSERT_TRUE(release);
   assigner_actions retry_actions;
   assigner_.OnWriteEnded(
       {.id = release->id,
-       .end = write_end::kConflict,
+       .outcome = conditional_write_outcome::kConflict,
        .revision = 12,
        .content = FormatLease({.host = "other", .address = "3:4"})},
       now_, retry_actions);
   EXPECT_FALSE(FindLeaseWrite(retry_actions));
-  EXPECT_FALSE(assigner_.BusyLeaving());
+  EXPECT_FALSE(assigner_.IsReleasingLease());
 }
 
 // A write is answered after a newer map was read. Guards against keeping the
 // old map under the revision of the newer one: the next write would then
 // overwrite the newer owners and their fences.
 TEST_F(AssignerLeaseTest, LateWriteAnswerDoesNotReplaceNewerMap) {
-  key_assigner::own_objects objects = TakeLease();
+  key_assigner::system_objects objects = TakeLease();
   assigner_.OnTargets({MakeTarget("t")}, false, now_);
   const store_write first = AdvanceToMapWrite();
 
@@ -198,7 +200,7 @@
   ASSERT_TRUE(assigner_.OnObjects(objects, now_));
   assigner_actions actions;
   assigner_.OnWriteEnded({.id = first.id,
-                          .end = write_end::kWritten,
+                          .outcome = conditional_write_outcome::kWritten,
                           .revision = 12,
                           .content = {}},
                          now_, actions);
@@ -206,7 +208,7 @@
   EXPECT_EQ(*assigner_.MapOf("s"), newer);
   EXPECT_EQ(assigner_.MapRevision("s"), 14U);
   for (const assigner_action& action : actions) {
-    EXPECT_FALSE(std::holds_alternative<share_action>(action));
+    EXPECT_FALSE(std::holds_alternative<share_owners_action>(action));
   }
 }
 
@@ -214,7 +216,7 @@
 // lease. Guards against it considering all targets lost whose orders failed
 // during the partition.
 TEST_F(AssignerLeaseTest, RenewalAfterPartitionForgetsOrdersThatFailedInIt) {
-  key_assigner::own_objects objects = TakeLease();
+  key_assigner::system_objects objects = TakeLease();
   assigner_.OnTargets({MakeTarget("t"), MakeTarget("u")}, false, now_);
   ReportWritten(AdvanceToMapWrite(), 12);
   ReportWritten(AdvanceToMapWrite(), 13);
@@ -222,13 +224,13 @@
   ASSERT_TRUE(assigner_.MapOf("s")->ranges.front().granted);
   ASSERT_TRUE(assigner_.MapOf("s")->ranges.back().granted);
 
-  assigner_.OnStoreAnswers(false, now_);
-  target_u_answer_ = order_end::kUnanswered;
-  lease_write_answer_ = write_end::kUnknown;
+  assigner_.OnStoreAvailability(false, now_);
+  target_u_answer_ = order_outcome::kUnanswered;
+  lease_write_answer_ = conditional_write_outcome::kUnknown;
   while (assigner_.IsHolder(now_)) {
     Step();
   }
-  lease_write_answer_ = write_end::kWritten;
+  lease_write_answer_ = conditional_write_outcome::kWritten;
   std::optional<store_write> renewal;
   for (int i = 0; i < 100 && !renewal; ++i) {
     renewal = FindLeaseWrite(Step());
@@ -238,12 +240,12 @@
   objects["assigner"] = {
       .name = "assigner", .revision = revision_, .item = renewal->content};
   ASSERT_TRUE(assigner_.OnObjects(objects, now_));
-  target_u_answer_ = order_end::kDone;
+  target_u_answer_ = order_outcome::kDone;
   for (int i = 0; i < 120; ++i) {
     for (const assigner_action& action : Step()) {
       const auto* note = std::get_if<assigner_note>(&action);
       ASSERT_TRUE(note == nullptr ||
-                  note->what != assigner_note::kind::kTargetLost)
+                  note->note_kind != assigner_note::kind::kTargetLost)
           << i;
     }
   }
@@ -255,7 +257,7 @@
 TEST_F(AssignerLeaseTest, FreeLeaseIsTakenAfterHostSpecificDelay) {
   key_assigner delayed_host(
       {.host = "l", .zone = "z", .address = "1:3", .seed = 63});
-  delayed_host.OnStoreAnswers(true, now_);
+  delayed_host.OnStoreAvailability(true, now_);
   ASSERT_TRUE(delayed_host.OnObjects({}, now_));
   assigner_actions actions;
   now_ += seconds{5};
@@ -274,7 +276,7 @@
 TEST_F(AssignerLeaseTest, HostWithLowBandwidthTakesLeaseLater) {
   key_assigner low_bandwidth_host(
       {.host = "n", .zone = "z", .address = "1:3", .link_mbps = 10, .seed = 0});
-  low_bandwidth_host.OnStoreAnswers(true, now_);
+  low_bandwidth_host.OnStoreAvailability(true, now_);
   low_bandwidth_host.OnServices({});
   ASSERT_TRUE(low_bandwidth_host.OnObjects({}, now_));
   assigner_actions actions;
--- a/tests/assigner_sharing_test.cc
+++ b/tests/assigner_sharing_test.cc
@@ -23,14 +23,14 @@
     target.address = "10.0.0.1:80";
     assigner_.OnTargets({target}, false, now_);
     ASSERT_TRUE(assigner_.OnObjects({}, now_));
-    assigner_.OnStoreAnswers(true, now_);
+    assigner_.OnStoreAvailability(true, now_);
   }
 
   /// Reports to the assigner that the store executed `write`.
   void ReportWritten(const store_write& write, uint64_t revision,
                      assigner_actions& out) {
     assigner_.OnWriteEnded({.id = write.id,
-                            .end = write_end::kWritten,
+                            .outcome = conditional_write_outcome::kWritten,
                             .revision = revision,
                             .content = {}},
                            now_, out);
@@ -71,7 +71,7 @@
   key_assigner assigner_{{.host = "h", .zone = "z", .address = "1:2"}};
   time_point now_{seconds{100}};
   uint64_t revision_ = 10;
-  key_assigner::own_objects objects_;
+  key_assigner::system_objects objects_;
 };
 
 // The holder receives its new record from its watch before the store answers
@@ -83,13 +83,13 @@
   DeliverWatchedObject(write, revision);
   assigner_actions actions;
   ReportWritten(write, revision, actions);
-  const share_action* share = nullptr;
+  const share_owners_action* share = nullptr;
   for (const assigner_action& action : actions) {
-    const auto* candidate = std::get_if<share_action>(&action);
+    const auto* candidate = std::get_if<share_owners_action>(&action);
     share = candidate != nullptr ? candidate : share;
   }
   ASSERT_NE(share, nullptr);
-  EXPECT_EQ(share->record.base, write.expected_revision);
+  EXPECT_EQ(share->record.base_revision, write.expected_revision);
   EXPECT_EQ(share->record.revision, revision);
   const auto changes = ParseKeyChanges(share->record.content);
   ASSERT_TRUE(changes);
@@ -132,7 +132,7 @@
   size_t receivers = 0;
   for (const assigner_action& action : actions) {
     if (const auto* heartbeat = std::get_if<heartbeat_action>(&action)) {
-      EXPECT_EQ(heartbeat->heartbeat.hosts, 12U);
+      EXPECT_EQ(heartbeat->heartbeat.host_count, 12U);
       for (const fanout_hop& hop : heartbeat->hops) {
         receivers += 1 + hop.forward_to.size();
       }
@@ -158,10 +158,10 @@
   now_ += seconds{2};
   assigner_actions actions;
   assigner_.OnTime(now_, actions);
-  const hosts_action* host_list = nullptr;
+  const share_hosts_action* host_list = nullptr;
   const heartbeat_action* heartbeat = nullptr;
   for (const assigner_action& action : actions) {
-    const auto* hosts_candidate = std::get_if<hosts_action>(&action);
+    const auto* hosts_candidate = std::get_if<share_hosts_action>(&action);
     const auto* heartbeat_candidate = std::get_if<heartbeat_action>(&action);
     host_list = hosts_candidate != nullptr ? hosts_candidate : host_list;
     heartbeat =
@@ -178,7 +178,7 @@
                           .address = "1:0"});
   successor.OnServices({testing::KeyedService("s")});
   ASSERT_TRUE(successor.OnObjects(objects_, now_));
-  successor.OnStoreAnswers(true, now_);
+  successor.OnStoreAvailability(true, now_);
   successor.OnHeartbeat(heartbeat->heartbeat, now_);
   successor.OnHosts(host_list->record, now_);
   size_t hop_count = 0;
@@ -190,7 +190,7 @@
       const assigner_action action = actions_of_successor[k];
       if (const auto* write = std::get_if<store_write>(&action)) {
         successor.OnWriteEnded({.id = write->id,
-                                .end = write_end::kWritten,
+                                .outcome = conditional_write_outcome::kWritten,
                                 .revision = ++revision_,
                                 .content = {}},
                                now_, actions_of_successor);
@@ -211,11 +211,13 @@
       {{"assigner",
         {.name = "assigner",
          .revision = 11,
-         .item = FormatLease({.host = "h", .address = "1:2", .hosts = 1})}}},
+         .item =
+             FormatLease({.host = "h", .address = "1:2", .host_count = 1})}}},
       now_));
   EXPECT_EQ(other.HostCount(), 1U);
   other.OnHeartbeat(
-      {.host = "h", .lease_revision = 11, .successors = {}, .hosts = 12}, now_);
+      {.host = "h", .lease_revision = 11, .successors = {}, .host_count = 12},
+      now_);
   EXPECT_EQ(other.HostCount(), 12U);
 }
 
--- a/tests/authority_schedule.h
+++ b/tests/authority_schedule.h
@@ -34,57 +34,58 @@
       : random_(seed), fault_(fault), hosts_(hosts) {
     std::vector<member> members;
     for (size_t i = 0; i < hosts_.size(); ++i) {
-      hosts_[i].drift_ppm = static_cast<int64_t>(Below(900)) - 450;
-      hosts_[i].offset_us = static_cast<int64_t>(Below(1'000'000'000));
-      Start(i);
-      members.push_back(Self(i));
+      hosts_[i].drift_ppm = static_cast<int64_t>(RandomBelow(900)) - 450;
+      hosts_[i].offset_us = static_cast<int64_t>(RandomBelow(1'000'000'000));
+      StartHost(i);
+      members.push_back(MemberOf(i));
     }
-    record_ = *FirstRecord(members, Below(members.size()));
+    record_ = *InitialRecord(members, RandomBelow(members.size()));
     record_.revision = 1;
     for (size_t i = 0; i < hosts_.size(); ++i) {
-      Later(Below(kLongDelayUs), [this, i] { Learn(i, record_); });
+      Schedule(RandomBelow(kMaxDelayUs),
+               [this, i] { SetHostRecord(i, record_); });
     }
   }
 
   /// Runs until the given virtual time, or until a violation is found.
   void Run(int64_t until_us) {
     for (size_t i = 0; i < hosts_.size(); ++i) {
-      Later(Below(kTickUs), [this, i] { TickHost(i); });
+      Schedule(RandomBelow(kTickUs), [this, i] { TickHost(i); });
     }
     for (int i = 0; i < 12; ++i) {
-      Later(Below(until_us), [this] { Disturb(); });
+      Schedule(RandomBelow(until_us), [this] { InjectRandomFault(); });
     }
-    while (!queue_.empty() && violation_.empty()) {
-      auto first = queue_.begin();
+    while (!events_.empty() && violation_.empty()) {
+      auto first = events_.begin();
       if (first->first > until_us) {
         break;
       }
       now_us_ = first->first;
       const std::function<void()> action = std::move(first->second);
-      queue_.erase(first);
+      events_.erase(first);
       action();
-      Check();
+      CheckInvariants();
     }
   }
 
   /// Ends all faults, so that the range must get a steward again.
-  void Heal() {
-    healed_ = true;
+  void EndFaults() {
+    faults_ended_ = true;
     platform_up_ = true;
     for (size_t i = 0; i < hosts_.size(); ++i) {
-      hosts_[i].paused_until = 0;
-      hosts_[i].cut_until = 0;
-      hosts_[i].side = 0;
-      Later(Below(kTickUs), [this, i] { Learn(i, record_); });
+      hosts_[i].paused_until_us = 0;
+      hosts_[i].disconnected_until_us = 0;
+      hosts_[i].partition_side = 0;
+      Schedule(RandomBelow(kTickUs), [this, i] { SetHostRecord(i, record_); });
     }
   }
 
   const std::string& violation() const { return violation_; }
   int takeovers() const { return takeovers_; }
   /// Returns the host that currently acts as steward, or -1.
-  int Acting() const {
+  int ActingHost() const {
     for (size_t i = 0; i < hosts_.size(); ++i) {
-      if (Acts(i)) {
+      if (IsActing(i)) {
         return static_cast<int>(i);
       }
     }
@@ -94,90 +95,95 @@
 
  private:
   static constexpr int64_t kTickUs = 10'000;
-  static constexpr int64_t kLongDelayUs = 600'000;
-  static constexpr const char* kRange = "history@trnje";
+  static constexpr int64_t kMaxDelayUs = 600'000;
+  static constexpr const char* kRangeName = "history@trnje";
 
   struct host {
     uint64_t life = 0;
     int64_t drift_ppm = 0;
     int64_t offset_us = 0;
-    int64_t paused_until = 0;
-    int64_t cut_until = 0;
-    int side = 0;  ///< Messages between different sides are lost.
-    bool read_record = false;
+    int64_t paused_until_us = 0;
+    int64_t disconnected_until_us = 0;
+    int partition_side = 0;  ///< Messages between different sides are lost.
+    bool has_read_record = false;
     std::unique_ptr<promise_ledger> ledger;
     std::unique_ptr<range_authority> authority;
   };
 
-  uint64_t Below(uint64_t bound) { return random_() % bound; }
+  uint64_t RandomBelow(uint64_t bound) { return random_() % bound; }
 
-  void Later(uint64_t delay_us, std::function<void()> action) {
-    queue_.emplace(now_us_ + static_cast<int64_t>(delay_us), std::move(action));
+  void Schedule(uint64_t delay_us, std::function<void()> action) {
+    events_.emplace(now_us_ + static_cast<int64_t>(delay_us),
+                    std::move(action));
   }
 
-  time_point Clock(size_t i) const {
+  time_point ReadClock(size_t i) const {
     const host& h = hosts_[i];
     const int64_t us =
         now_us_ + now_us_ * h.drift_ppm / 1'000'000 + h.offset_us;
     return time_point{duration{us}};
   }
 
-  member Self(size_t i) const {
+  member MemberOf(size_t i) const {
     return member{"host-" + std::to_string(i), hosts_[i].life};
   }
 
-  void Start(size_t i) {
+  void StartHost(size_t i) {
     host& h = hosts_[i];
     const bool keeps_life =
         fault_ == protocol_fault::kForgetOnRestart && h.life != 0;
-    h.life = keeps_life ? h.life : ++lives_;
+    h.life = keeps_life ? h.life : ++last_life_;
     h.ledger = std::make_unique<promise_ledger>(h.life, timing_);
-    h.authority = std::make_unique<range_authority>(kRange, Self(i), timing_);
+    h.authority =
+        std::make_unique<range_authority>(kRangeName, MemberOf(i), timing_);
   }
 
-  void Learn(size_t i, const range_record& record) {
-    hosts_[i].authority->SetRecord(record, Clock(i));
+  void SetHostRecord(size_t i, const range_record& record) {
+    hosts_[i].authority->SetRecord(record, ReadClock(i));
   }
 
-  bool Paused(size_t i) const { return now_us_ < hosts_[i].paused_until; }
-  bool Cut(size_t i) const { return now_us_ < hosts_[i].cut_until; }
+  bool IsPaused(size_t i) const { return now_us_ < hosts_[i].paused_until_us; }
+  bool IsDisconnected(size_t i) const {
+    return now_us_ < hosts_[i].disconnected_until_us;
+  }
 
   void TickHost(size_t i) {
-    Later(kTickUs, [this, i] { TickHost(i); });
-    if (Paused(i)) {
+    Schedule(kTickUs, [this, i] { TickHost(i); });
+    if (IsPaused(i)) {
       return;
     }
     host& h = hosts_[i];
-    std::vector<addressed_ask> requests;
-    h.authority->Tick(Clock(i), *h.ledger, requests);
-    for (const addressed_ask& request : requests) {
-      SendAsk(i, request);
+    std::vector<addressed_promise_request> requests;
+    h.authority->Tick(ReadClock(i), *h.ledger, requests);
+    for (const addressed_promise_request& request : requests) {
+      SendRequest(i, request);
     }
-    WriteRecord(i);
+    MaybeUpdateRecord(i);
   }
 
-  uint64_t Delay() {
-    if (healed_ || Below(10) != 0) {
-      return 100 + Below(2'000);
+  uint64_t RandomDelayUs() {
+    if (faults_ended_ || RandomBelow(10) != 0) {
+      return 100 + RandomBelow(2'000);
     }
-    return Below(kLongDelayUs);
+    return RandomBelow(kMaxDelayUs);
   }
 
-  bool Lost(size_t from, size_t to) {
-    return Cut(from) || Cut(to) || hosts_[from].side != hosts_[to].side ||
-           (!healed_ && Below(20) == 0);
+  bool IsMessageLost(size_t from, size_t to) {
+    return IsDisconnected(from) || IsDisconnected(to) ||
+           hosts_[from].partition_side != hosts_[to].partition_side ||
+           (!faults_ended_ && RandomBelow(20) == 0);
   }
 
-  void SendAsk(size_t from, const addressed_ask& ask) {
-    const size_t to = std::stoul(ask.to.host.substr(5));
-    if (Lost(from, to)) {
+  void SendRequest(size_t from, const addressed_promise_request& request) {
+    const size_t to = std::stoul(request.witness.host.substr(5));
+    if (IsMessageLost(from, to)) {
       return;
     }
-    const member requester = Self(from);
-    Later(Delay(), [this, from, to, requester, ask] {
-      Deliver(to, [this, from, to, requester, ask] {
-        const promise_answer answer =
-            hosts_[to].ledger->Answer(requester, ask.ask, Clock(to));
+    const member requester = MemberOf(from);
+    Schedule(RandomDelayUs(), [this, from, to, requester, request] {
+      RunWhenAwake(to, [this, from, to, requester, request] {
+        const promise_answer answer = hosts_[to].ledger->AnswerRequest(
+            requester, request.request, ReadClock(to));
         SendAnswer(to, from, requester.life, answer);
       });
     });
@@ -185,118 +191,121 @@
 
   void SendAnswer(size_t from, size_t to, uint64_t to_life,
                   const promise_answer& answer) {
-    if (Lost(from, to)) {
+    if (IsMessageLost(from, to)) {
       return;
     }
-    const member witness = Self(from);
-    Later(Delay(), [this, to, to_life, witness, answer] {
-      Deliver(to, [this, to, to_life, witness, answer] {
+    const member witness = MemberOf(from);
+    Schedule(RandomDelayUs(), [this, to, to_life, witness, answer] {
+      RunWhenAwake(to, [this, to, to_life, witness, answer] {
         if (hosts_[to].life != to_life) {
           return;
         }
         promise_answer received = answer;
         if (fault_ == protocol_fault::kCountFromReceipt) {
-          received.asked_at_us = Clock(to).time_since_epoch().count();
+          received.asked_at_us = ReadClock(to).time_since_epoch().count();
         }
-        hosts_[to].authority->OnAnswer(witness, received, Clock(to));
+        hosts_[to].authority->OnAnswer(witness, received, ReadClock(to));
       });
     });
   }
 
   /// Runs the action now, or when the host's pause ends.
-  void Deliver(size_t to, const std::function<void()>& action) {
-    if (!Paused(to)) {
+  void RunWhenAwake(size_t to, const std::function<void()>& action) {
+    if (!IsPaused(to)) {
       action();
       return;
     }
-    const int64_t delay_us = hosts_[to].paused_until - now_us_;
-    Later(delay_us, [this, to, action] { Deliver(to, action); });
+    const int64_t delay_us = hosts_[to].paused_until_us - now_us_;
+    Schedule(delay_us, [this, to, action] { RunWhenAwake(to, action); });
   }
 
-  void WriteRecord(size_t i) {
+  void MaybeUpdateRecord(size_t i) {
     host& h = hosts_[i];
-    if (!SeesPlatform(i) || Below(4) != 0) {
+    if (!CanReachPlatform(i) || RandomBelow(4) != 0) {
       return;
     }
-    if (!h.read_record) {
-      h.read_record = true;
-      Learn(i, record_);
+    if (!h.has_read_record) {
+      h.has_read_record = true;
+      SetHostRecord(i, record_);
       return;
     }
     roster_facts facts;
-    facts.self = Self(i);
+    facts.self = MemberOf(i);
     for (size_t j = 0; j < hosts_.size(); ++j) {
-      if (Hears(i, j)) {
-        facts.candidates.push_back(Self(j));
+      if (CanHear(i, j)) {
+        facts.candidates.push_back(MemberOf(j));
       }
     }
     facts.latest_life = [this](const std::string& name) {
       return hosts_[std::stoul(name.substr(5))].life;
     };
-    facts.gone = [this, i](const member& who) {
-      return !Hears(i, std::stoul(who.host.substr(5)));
+    facts.is_unavailable = [this, i](const member& who) {
+      return !CanHear(i, std::stoul(who.host.substr(5)));
     };
     facts.all_saw_record = h.authority->AllSawRecord();
     facts.outranked = h.authority->outranked();
     const range_record& known = h.authority->record();
     auto next_record =
-        Acts(i) ? RepairedRecord(known, facts) : ResetRecord(known, facts);
-    if (!next_record && h.authority->Blocked(Clock(i), *h.ledger)) {
+        IsActing(i) ? RepairedRecord(known, facts) : ResetRecord(known, facts);
+    if (!next_record && h.authority->IsBlocked(ReadClock(i), *h.ledger)) {
       next_record = RenumberedRecord(known, facts);
     }
     if (!next_record || known.revision != record_.revision) {
       return;
     }
     if (fault_ == protocol_fault::kSkipJointMajority) {
-      next_record->previous.clear();
+      next_record->previous_members.clear();
     }
     next_record->revision = record_.revision + 1;
     record_ = *next_record;
     for (size_t j = 0; j < hosts_.size(); ++j) {
-      if (SeesPlatform(j)) {
+      if (CanReachPlatform(j)) {
         const range_record record = record_;
-        Later(j == i ? 0 : Delay(), [this, j, record] {
-          Deliver(j, [this, j, record] { Learn(j, record); });
+        Schedule(j == i ? 0 : RandomDelayUs(), [this, j, record] {
+          RunWhenAwake(j, [this, j, record] { SetHostRecord(j, record); });
         });
       }
     }
   }
 
-  bool SeesPlatform(size_t i) const {
-    return platform_up_ && !Cut(i) && !Paused(i) &&
-           hosts_[i].side <= platform_side_;
+  bool CanReachPlatform(size_t i) const {
+    return platform_up_ && !IsDisconnected(i) && !IsPaused(i) &&
+           hosts_[i].partition_side <= max_side_with_platform_;
   }
 
-  bool Hears(size_t i, size_t j) const {
-    return !Paused(j) && !Cut(j) && hosts_[i].side == hosts_[j].side;
+  bool CanHear(size_t i, size_t j) const {
+    return !IsPaused(j) && !IsDisconnected(j) &&
+           hosts_[i].partition_side == hosts_[j].partition_side;
   }
 
   /// Splits the hosts in two sides. The platform is reachable from one side or
   /// from both.
   void Partition() {
     for (host& h : hosts_) {
-      h.side = static_cast<int>(Below(2));
+      h.partition_side = static_cast<int>(RandomBelow(2));
     }
-    platform_side_ = static_cast<int>(Below(2));
+    max_side_with_platform_ = static_cast<int>(RandomBelow(2));
   }
 
-  void Disturb() {
-    if (healed_) {
+  void InjectRandomFault() {
+    if (faults_ended_) {
       return;
     }
-    const size_t i = Below(hosts_.size());
-    const int64_t length_us = 50'000 + static_cast<int64_t>(Below(900'000));
-    switch (Below(7)) {
+    const size_t i = RandomBelow(hosts_.size());
+    const int64_t length_us =
+        50'000 + static_cast<int64_t>(RandomBelow(900'000));
+    switch (RandomBelow(7)) {
       case 0:
-        hosts_[i].paused_until = now_us_ + length_us;
+        hosts_[i].paused_until_us = now_us_ + length_us;
         break;
       case 1:
-        hosts_[i].cut_until = now_us_ + length_us;
+        hosts_[i].disconnected_until_us = now_us_ + length_us;
         break;
       case 2:
-        Start(i);
-        hosts_[i].read_record = false;
-        hosts_[i].paused_until = now_us_ + static_cast<int64_t>(Below(200'000));
+        StartHost(i);
+        hosts_[i].has_read_record = false;
+        hosts_[i].paused_until_us =
+            now_us_ + static_cast<int64_t>(RandomBelow(200'000));
         break;
       case 3:
         platform_up_ = !platform_up_;
@@ -311,23 +320,23 @@
     }
   }
 
-  void PauseSteward(int64_t length) {
-    const int acting = Acting();
+  void PauseSteward(int64_t length_us) {
+    const int acting = ActingHost();
     if (acting >= 0) {
-      hosts_[acting].paused_until = now_us_ + length;
+      hosts_[acting].paused_until_us = now_us_ + length_us;
     }
   }
 
   /// Returns whether the host considers itself the steward. A paused host
   /// counts too: on waking, it would act if its authority had not expired.
-  bool Acts(size_t i) const {
-    return Clock(i) < hosts_[i].authority->ActingUntil();
+  bool IsActing(size_t i) const {
+    return ReadClock(i) < hosts_[i].authority->ActingUntil();
   }
 
-  void Check() {
+  void CheckInvariants() {
     int acting = -1;
     for (size_t i = 0; i < hosts_.size(); ++i) {
-      if (!Acts(i)) {
+      if (!IsActing(i)) {
         continue;
       }
       if (acting >= 0) {
@@ -341,7 +350,7 @@
       return;
     }
     const uint64_t epoch = hosts_[acting].authority->epoch();
-    const member who = Self(acting);
+    const member who = MemberOf(acting);
     if (who != last_steward_) {
       takeovers_ += 1;
       if (epoch <= last_epoch_) {
@@ -360,11 +369,11 @@
   std::vector<host> hosts_;
   range_record record_;
   bool platform_up_ = true;
-  int platform_side_ = 1;
-  bool healed_ = false;
+  int max_side_with_platform_ = 1;
+  bool faults_ended_ = false;
   int64_t now_us_ = 0;
-  uint64_t lives_ = 0;
-  std::multimap<int64_t, std::function<void()>> queue_;
+  uint64_t last_life_ = 0;
+  std::multimap<int64_t, std::function<void()>> events_;
   std::string violation_;
   member last_steward_;
   uint64_t last_epoch_ = 0;
--- a/tests/authority_test.cc
+++ b/tests/authority_test.cc
@@ -84,10 +84,10 @@
   for (int seed = 0; seed < kScheduleCount; ++seed) {
     authority_schedule schedule(seed, 3, protocol_fault::kNone);
     schedule.Run(kRunTimeUs);
-    schedule.Heal();
+    schedule.EndFaults();
     schedule.Run(kRunTimeUs + 6'000'000);
     ASSERT_EQ(schedule.violation(), "") << seed;
-    ASSERT_GE(schedule.Acting(), 0) << seed;
+    ASSERT_GE(schedule.ActingHost(), 0) << seed;
     takeovers += schedule.takeovers();
   }
   EXPECT_GT(takeovers, kScheduleCount);
@@ -95,8 +95,8 @@
 
 class PromiseLedgerTest : public ::testing::Test {
  protected:
-  promise_ask MakeRequest(uint64_t epoch, uint64_t revision = 1) const {
-    promise_ask request;
+  promise_request MakeRequest(uint64_t epoch, uint64_t revision = 1) const {
+    promise_request request;
     request.range = "history@trnje";
     request.epoch = epoch;
     request.revision = revision;
@@ -111,44 +111,50 @@
 };
 
 TEST_F(PromiseLedgerTest, UnexpiredPromiseRefusesAnotherHolder) {
-  EXPECT_EQ(ledger_.Answer(first_holder_, MakeRequest(1), start_).verdict,
-            promise_verdict::kGranted);
-  EXPECT_EQ(
-      ledger_.Answer(second_holder_, MakeRequest(2), start_ + milliseconds{399})
-          .verdict,
-      promise_verdict::kHeldByOther);
   EXPECT_EQ(
-      ledger_.Answer(second_holder_, MakeRequest(2), start_ + milliseconds{400})
-          .verdict,
+      ledger_.AnswerRequest(first_holder_, MakeRequest(1), start_).verdict,
       promise_verdict::kGranted);
-  EXPECT_EQ(
-      ledger_.Answer(first_holder_, MakeRequest(1), start_ + milliseconds{900})
-          .verdict,
-      promise_verdict::kEpochTooLow);
+  EXPECT_EQ(ledger_
+                .AnswerRequest(second_holder_, MakeRequest(2),
+                               start_ + milliseconds{399})
+                .verdict,
+            promise_verdict::kHeldByOther);
+  EXPECT_EQ(ledger_
+                .AnswerRequest(second_holder_, MakeRequest(2),
+                               start_ + milliseconds{400})
+                .verdict,
+            promise_verdict::kGranted);
+  EXPECT_EQ(ledger_
+                .AnswerRequest(first_holder_, MakeRequest(1),
+                               start_ + milliseconds{900})
+                .verdict,
+            promise_verdict::kEpochTooLow);
 }
 
 TEST_F(PromiseLedgerTest, RequestToAFormerLifeIsRefused) {
-  promise_ask request = MakeRequest(1);
+  promise_request request = MakeRequest(1);
   request.to_life = 6;
-  EXPECT_EQ(ledger_.Answer(first_holder_, request, start_).verdict,
+  EXPECT_EQ(ledger_.AnswerRequest(first_holder_, request, start_).verdict,
             promise_verdict::kOtherLife);
 }
 
 TEST_F(PromiseLedgerTest, RequestWithAnOutdatedRosterIsRefused) {
   ledger_.NoteRevision("history@trnje", 5);
-  EXPECT_EQ(ledger_.Answer(first_holder_, MakeRequest(1, 4), start_).verdict,
-            promise_verdict::kRecordTooOld);
+  EXPECT_EQ(
+      ledger_.AnswerRequest(first_holder_, MakeRequest(1, 4), start_).verdict,
+      promise_verdict::kRecordTooOld);
 }
 
 TEST_F(PromiseLedgerTest, ReleasedPromisePassesToTheSuccessorOnly) {
-  ledger_.Answer(first_holder_, MakeRequest(1), start_);
-  promise_ask request = MakeRequest(2);
+  ledger_.AnswerRequest(first_holder_, MakeRequest(1), start_);
+  promise_request request = MakeRequest(2);
   request.released_by = first_holder_;
   request.released_epoch = 1;
-  EXPECT_EQ(ledger_.Answer(second_holder_, request, start_).verdict,
+  EXPECT_EQ(ledger_.AnswerRequest(second_holder_, request, start_).verdict,
             promise_verdict::kGranted);
-  EXPECT_EQ(ledger_.Answer(member{"c", 1}, MakeRequest(3), start_).verdict,
-            promise_verdict::kHeldByOther);
+  EXPECT_EQ(
+      ledger_.AnswerRequest(member{"c", 1}, MakeRequest(3), start_).verdict,
+      promise_verdict::kHeldByOther);
 }
 
 }  // namespace
--- a/tests/burn_test.cc
+++ b/tests/burn_test.cc
@@ -55,7 +55,7 @@
   Record("b", 1, 0);
   Record("c", 3, 0);
   EXPECT_EQ(ledger_.AllRows(now_).size(), 2U);
-  EXPECT_EQ(ledger_.uncounted(), 3U);
+  EXPECT_EQ(ledger_.uncounted_requests(), 3U);
 }
 
 TEST_F(BurnTest, RowsOfSeveralHostsAreSummedAfterJsonRoundTrip) {
--- a/tests/crash_watch_test.cc
+++ b/tests/crash_watch_test.cc
@@ -22,13 +22,13 @@
   /// Ends a request at the target without a complete response.
   void BreakResponse(const std::string& target,
                      uint64_t content_hash = kContentHash) {
-    watch_.OnBroken(content_hash, {.id = target, .started = 1}, now_);
+    watch_.OnBrokenResponse(content_hash, {.id = target, .started = 1}, now_);
   }
 
   /// Delivers a list of the store that lacks the lives of these targets.
   void ListWithout(const std::set<std::string>& missing) {
     now_ += seconds{2};
-    watch_.OnListed(
+    watch_.OnTargetList(
         [&](const target_life& life) { return !missing.contains(life.id); },
         now_);
   }
@@ -47,10 +47,10 @@
 // service down.
 TEST_F(CrashWatchTest, ContentThatCrashedTwoTargetsIsRefused) {
   CrashTarget("a");
-  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
+  EXPECT_FALSE(watch_.IsQuarantined(kContentHash, now_));
   CrashTarget("b");
-  EXPECT_TRUE(watch_.IsCrashing(kContentHash, now_));
-  EXPECT_FALSE(watch_.IsCrashing(kContentHash + 1, now_));
+  EXPECT_TRUE(watch_.IsQuarantined(kContentHash, now_));
+  EXPECT_FALSE(watch_.IsQuarantined(kContentHash + 1, now_));
 }
 
 // Guards against refusing the requests of callers for network faults: links are
@@ -60,7 +60,7 @@
     BreakResponse(target);
     ListWithout({});
   }
-  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
+  EXPECT_FALSE(watch_.IsQuarantined(kContentHash, now_));
 }
 
 TEST_F(CrashWatchTest, TargetThatEndsMuchLaterCountsNoCrash) {
@@ -68,7 +68,7 @@
   now_ += seconds{10};
   ListWithout({"a"});
   CrashTarget("b");
-  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
+  EXPECT_FALSE(watch_.IsQuarantined(kContentHash, now_));
 }
 
 // Guards against refusing a page that ten callers requested when its target
@@ -78,14 +78,14 @@
     BreakResponse("a");
   }
   ListWithout({"a"});
-  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
+  EXPECT_FALSE(watch_.IsQuarantined(kContentHash, now_));
 }
 
 TEST_F(CrashWatchTest, ResponseClearsTheContent) {
   CrashTarget("a");
-  watch_.OnAnswered(kContentHash);
+  watch_.OnResponse(kContentHash);
   CrashTarget("b");
-  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
+  EXPECT_FALSE(watch_.IsQuarantined(kContentHash, now_));
 }
 
 // Guards against each host counting only the crashes that it observes, which
@@ -94,18 +94,18 @@
   crash_watch other_host;
   CrashTarget("a");
   CrashTarget("b");
-  other_host.Import(watch_.TakeNews(now_), now_);
-  EXPECT_TRUE(other_host.IsCrashing(kContentHash, now_));
-  EXPECT_TRUE(watch_.TakeNews(now_).empty())
+  other_host.Import(watch_.TakeNewMarks(now_), now_);
+  EXPECT_TRUE(other_host.IsQuarantined(kContentHash, now_));
+  EXPECT_TRUE(watch_.TakeNewMarks(now_).empty())
       << "new marks must be returned only once";
-  EXPECT_EQ(other_host.Marks(20, now_).size(), 1U);
+  EXPECT_EQ(other_host.LatestMarks(20, now_).size(), 1U);
 }
 
 TEST_F(CrashWatchTest, MarkExpiresAfterAFewMinutes) {
   CrashTarget("a");
   CrashTarget("b");
   now_ += minutes{3};
-  EXPECT_FALSE(watch_.IsCrashing(kContentHash, now_));
+  EXPECT_FALSE(watch_.IsQuarantined(kContentHash, now_));
 }
 
 }  // namespace
--- a/tests/ctl_config_test.cc
+++ b/tests/ctl_config_test.cc
@@ -31,7 +31,7 @@
   }
 
   deployment_config Stored() const {
-    return ConfigOf(objects_.At("config")).value();
+    return ConfigOf(objects_.StateOf("config")).value();
   }
 
   std::vector<declaration_file> files_ = ExampleFiles("vlahovic");
@@ -81,7 +81,7 @@
 // The platform carries out the write and the connection breaks before its
 // answer. A tool that reports a failure makes the operator do it twice.
 TEST_F(CtlConfigTest, LostAnswerIsFoundByTheOwnMarkAndNotWrittenAgain) {
-  objects_.lose_answers = 1;
+  objects_.answers_to_lose = 1;
   const auto switched = Switch("peak", Act("switch"));
   ASSERT_TRUE(switched) << switched.error().Message();
   EXPECT_EQ(objects_.writes, 2);
@@ -92,9 +92,9 @@
 // The answer is lost and the platform then stays down for a while. The write
 // must be neither repeated nor reported as failed once it is back.
 TEST_F(CtlConfigTest, LostAnswerFollowedByAnOutageIsStillFound) {
-  objects_.lose_answers = 1;
+  objects_.answers_to_lose = 1;
   objects_.on_wait = [this] {
-    objects_.refuse_calls = objects_.waits_left > 5 ? 1 : 0;
+    objects_.calls_to_refuse = objects_.waits_left > 5 ? 1 : 0;
   };
   const auto switched = Switch("peak", Act("switch"));
   ASSERT_TRUE(switched) << switched.error().Message();
@@ -104,9 +104,9 @@
 // The answer is lost and another operator writes before the object is read
 // again. Who lost must not be told that it succeeded.
 TEST_F(CtlConfigTest, LostAnswerOverwrittenByAnotherIsReportedAsALostRace) {
-  objects_.lose_answers = 1;
+  objects_.answers_to_lose = 1;
   objects_.on_wait = [this] {
-    nlohmann::json other = objects_.At("config").value;
+    nlohmann::json other = objects_.StateOf("config").value;
     other["mark"] = "other";
     other["preset"]["name"] = "maintenance";
     objects_.Put("config", other);
@@ -119,7 +119,7 @@
 // The platform is down for a moment. The operator should not have to type the
 // command again, and the write must take effect once.
 TEST_F(CtlConfigTest, OutageWithinTheTimeAllowedIsWaitedOut) {
-  objects_.before_write = [this] { objects_.refuse_calls = 4; };
+  objects_.before_write = [this] { objects_.calls_to_refuse = 4; };
   const auto switched = Switch("peak", Act("switch"));
   ASSERT_TRUE(switched) << switched.error().Message();
   EXPECT_EQ(objects_.writes, 2);
@@ -128,7 +128,7 @@
 // The platform stays down. Nobody can tell whether the write took effect, and
 // the message must not claim either.
 TEST_F(CtlConfigTest, OutageBeyondTheTimeAllowedSaysThatTheFateIsUnknown) {
-  objects_.before_write = [this] { objects_.refuse_calls = 1000; };
+  objects_.before_write = [this] { objects_.calls_to_refuse = 1000; };
   const auto switched = Switch("peak", Act("switch"));
   ASSERT_FALSE(switched);
   EXPECT_EQ(ExitStatusOf(switched.error().code), exit_status::kUnreachable);
@@ -238,24 +238,25 @@
   const int rounds = *rc::gen::inRange(1, 8);
   for (int i = 0; i < rounds; ++i) {
     objects.waits_left = 10;
-    objects.lose_answers = *rc::gen::inRange(0, 3);
-    objects.refuse_calls = *rc::gen::inRange(0, 4);
+    objects.answers_to_lose = *rc::gen::inRange(0, 3);
+    objects.calls_to_refuse = *rc::gen::inRange(0, 4);
     const std::string mark = "mark-" + std::to_string(i);
     const operator_act act{"ana", "test", "now", mark, std::nullopt};
     const bool raced = *rc::gen::arbitrary<bool>();
     if (raced) {
       objects.before_write = [&objects] {
-        objects.Put("config", objects.At("config").value);
+        objects.Put("config", objects.StateOf("config").value);
       };
     }
     const int writes = objects.writes;
-    const std::string before = objects.At("config").value["preset"]["name"];
+    const std::string before =
+        objects.StateOf("config").value["preset"]["name"];
     const std::string wanted = before == "peak" ? "everyday" : "peak";
     const auto switched =
         EditConfig(objects, act, [&](const deployment_config& current) {
           return SwitchPreset(current, wanted, act);
         });
-    const auto stored = ConfigOf(objects.At("config"));
+    const auto stored = ConfigOf(objects.StateOf("config"));
     RC_ASSERT(stored);
     RC_ASSERT(switched.has_value() != raced);
     RC_ASSERT(objects.writes - writes == (raced ? 0 : 1));
--- a/tests/ctl_objects_test.cc
+++ b/tests/ctl_objects_test.cc
@@ -62,7 +62,7 @@
 
 TEST_F(CtlObjectsTest, DrainRecordsWhoWhyAndWhen) {
   ASSERT_TRUE(DrainTarget("archive-01"));
-  const nlohmann::json drain = objects_.At("drains/archive-01").value;
+  const nlohmann::json drain = objects_.StateOf("drains/archive-01").value;
   EXPECT_EQ(drain["by"], "ana");
   EXPECT_EQ(drain["why"], "disk swap");
   EXPECT_EQ(drain["at"], "2026-12-02T09:00:00Z");
@@ -86,10 +86,10 @@
 // there, which is what was wanted; a second removal must not follow.
 TEST_F(CtlObjectsTest, UndrainWithLostAnswerEndsTheDrainOnce) {
   ASSERT_TRUE(DrainTarget("archive-01"));
-  objects_.lose_answers = 1;
+  objects_.answers_to_lose = 1;
   const auto ended = Undrain(objects_, "target", "archive-01");
   ASSERT_TRUE(ended) << ended.error().Message();
-  EXPECT_EQ(objects_.At("drains/archive-01").revision, 0U);
+  EXPECT_EQ(objects_.StateOf("drains/archive-01").revision, 0U);
   EXPECT_EQ(objects_.writes, 2);
 }
 
@@ -116,7 +116,7 @@
       "ranges/r3",
       {{"steward", "entry-3"}, {"epoch", 4}, {"declared_dead", {"entry-1"}}});
   ASSERT_TRUE(Reset("r3", "entry-3", true));
-  const nlohmann::json range = objects_.At("ranges/r3").value;
+  const nlohmann::json range = objects_.StateOf("ranges/r3").value;
   EXPECT_EQ(range["epoch"], 4);
   EXPECT_EQ(range["declared_dead"], nlohmann::json({"entry-1", "entry-3"}));
   EXPECT_FALSE(Reset("r3", "entry-3", true));
@@ -133,7 +133,7 @@
   ASSERT_FALSE(lost);
   EXPECT_EQ(ExitStatusOf(lost.error().code), exit_status::kLostRace);
   EXPECT_THAT(lost.error().reason, HasSubstr("entry-2"));
-  EXPECT_FALSE(objects_.At("ranges/r3").value.contains("declared_dead"));
+  EXPECT_FALSE(objects_.StateOf("ranges/r3").value.contains("declared_dead"));
 }
 
 TEST_F(CtlObjectsTest, RangeResetOfUnknownRangeOrHostWritesNothing) {
--- a/tests/dispatcher_fixture.h
+++ b/tests/dispatcher_fixture.h
@@ -17,11 +17,11 @@
   static constexpr int kBuckets = 8;
   static constexpr int kSlots = 3;
 
-  static time_point At(int64_t ms) {
+  static time_point TimeAtMs(int64_t ms) {
     return time_point{std::chrono::milliseconds{ms}};
   }
 
-  static std::vector<target_config> Targets(int count) {
+  static std::vector<target_config> MakeTargets(int count) {
     std::vector<target_config> targets;
     targets.reserve(static_cast<size_t>(count));
     for (int i = 0; i < count; ++i) {
@@ -33,29 +33,30 @@
   }
 
   /// Adds `targets` targets and completes their ramp-up by answered requests.
-  static void SetUp(dispatcher& range, int targets) {
-    range.SetTargets(Targets(targets), kSlots, 50);
+  static void SetUpDispatcher(dispatcher& range, int target_count) {
+    range.SetTargets(MakeTargets(target_count), kSlots, 50);
     const std::vector<organisation_rule> rules(2);
     range.SetPolicy(preset_config{}, rules);
     for (int bucket = 0; bucket < kBuckets; ++bucket) {
-      range.SetOwner(bucket, bucket % targets);
+      range.SetOwner(bucket, bucket % target_count);
     }
     std::vector<dispatch_decision> out;
-    for (uint64_t i = 0; i < 24UL * static_cast<uint64_t>(targets); ++i) {
-      dispatch_request ramp_up_request = Request(1'000'000 + i);
+    for (uint64_t i = 0; i < 24UL * static_cast<uint64_t>(target_count); ++i) {
+      dispatch_request ramp_up_request = MakeRequest(1'000'000 + i);
       ramp_up_request.bucket = static_cast<int32_t>(i % kBuckets);
       out.clear();
-      range.Submit(ramp_up_request, At(0), out);
-      range.AttemptEnded(Starts(out).at(0).attempt_id, attempt_end::kAnswered,
-                         At(0) + std::chrono::milliseconds{2}, out);
+      range.Submit(ramp_up_request, TimeAtMs(0), out);
+      range.AttemptEnded(StartedAttempts(out).at(0).attempt_id,
+                         attempt_outcome::kAnswered,
+                         TimeAtMs(0) + std::chrono::milliseconds{2}, out);
     }
   }
 
-  static dispatch_request Request(uint64_t id) {
+  static dispatch_request MakeRequest(uint64_t id) {
     return {.request_id = id,
             .organisation = 0,
             .level = urgency::kOrdinary,
-            .deadline = At(2000),
+            .deadline = TimeAtMs(2000),
             .bucket = 0,
             .key_hash = id,
             .content_hash = id,
@@ -63,7 +64,7 @@
   }
 
   template <typename decision_type>
-  static std::vector<decision_type> All(
+  static std::vector<decision_type> DecisionsOfType(
       const std::vector<dispatch_decision>& out) {
     std::vector<decision_type> found;
     for (const dispatch_decision& decision : out) {
@@ -73,31 +74,32 @@
     }
     return found;
   }
-  static std::vector<start_attempt> Starts(
+  static std::vector<start_attempt> StartedAttempts(
       const std::vector<dispatch_decision>& out) {
-    return All<start_attempt>(out);
+    return DecisionsOfType<start_attempt>(out);
   }
-  static std::vector<finish_request> Finishes(
+  static std::vector<finish_request> FinishedRequests(
       const std::vector<dispatch_decision>& out) {
-    return All<finish_request>(out);
+    return DecisionsOfType<finish_request>(out);
   }
 
   std::vector<dispatch_decision> Submit(dispatcher& range,
                                         const dispatch_request& request,
                                         int64_t ms = 10) {
     std::vector<dispatch_decision> out;
-    range.Submit(request, At(ms), out);
+    range.Submit(request, TimeAtMs(ms), out);
     return out;
   }
-  std::vector<dispatch_decision> End(dispatcher& range, uint64_t attempt_id,
-                                     attempt_end end, int64_t ms) {
+  std::vector<dispatch_decision> EndAttempt(dispatcher& range,
+                                            uint64_t attempt_id,
+                                            attempt_outcome end, int64_t ms) {
     std::vector<dispatch_decision> out;
-    range.AttemptEnded(attempt_id, end, At(ms), out);
+    range.AttemptEnded(attempt_id, end, TimeAtMs(ms), out);
     return out;
   }
   std::vector<dispatch_decision> Tick(dispatcher& range, int64_t ms) {
     std::vector<dispatch_decision> out;
-    range.Tick(At(ms), out);
+    range.Tick(TimeAtMs(ms), out);
     return out;
   }
 };
--- a/tests/dispatcher_property_test.cc
+++ b/tests/dispatcher_property_test.cc
@@ -63,10 +63,11 @@
   /// Ends all running attempts and advances the time until no request is live.
   void Drain() {
     range_.Resume();
-    for (int i = 0; i < 4000 && (!running_.empty() || range_.Live() > 0); ++i) {
+    for (int i = 0; i < 4000 && (!running_.empty() || range_.LiveCount() > 0);
+         ++i) {
       out_.clear();
       if (!running_.empty()) {
-        EndRandomAttempt(attempt_end::kAnswered);
+        EndRandomAttempt(attempt_outcome::kAnswered);
       } else {
         now_ += duration{10'000};
         range_.Tick(now_, out_);
@@ -74,8 +75,8 @@
       CheckDecisions();
     }
     RC_ASSERT(live_.empty());
-    RC_ASSERT(range_.Live() == 0);
-    RC_ASSERT(range_.Waiting() == 0);
+    RC_ASSERT(range_.LiveCount() == 0);
+    RC_ASSERT(range_.WaitingCount() == 0);
   }
 
  private:
@@ -92,9 +93,9 @@
     if (*rc::gen::arbitrary<bool>()) {
       Submit();
     } else if (*rc::gen::inRange(0, 3) == 0) {
-      EndRandomAttempt(static_cast<attempt_end>(*rc::gen::inRange(1, 6)));
+      EndRandomAttempt(static_cast<attempt_outcome>(*rc::gen::inRange(1, 6)));
     } else {
-      EndRandomAttempt(attempt_end::kAnswered);
+      EndRandomAttempt(attempt_outcome::kAnswered);
     }
   }
 
@@ -120,21 +121,21 @@
     }
   }
 
-  void EndRandomAttempt(attempt_end end) {
+  void EndRandomAttempt(attempt_outcome end) {
     if (running_.empty()) {
       return;
     }
     auto chosen_attempt = running_.begin();
     std::advance(chosen_attempt, *rc::gen::inRange<size_t>(0, running_.size()));
     if (cancelled_.count(chosen_attempt->first) != 0 &&
-        end != attempt_end::kAnswered) {
-      end = attempt_end::kCancelled;
+        end != attempt_outcome::kAnswered) {
+      end = attempt_outcome::kCancelled;
     }
     const auto [attempt_id, attempt] = *chosen_attempt;
     running_.erase(chosen_attempt);
-    const bool may_have_run = end == attempt_end::kBroken ||
-                              end == attempt_end::kTimedOut ||
-                              end == attempt_end::kCancelled;
+    const bool may_have_run = end == attempt_outcome::kConnectionBroken ||
+                              end == attempt_outcome::kTimedOut ||
+                              end == attempt_outcome::kCancelled;
     const auto request = live_.find(attempt.request_id);
     if (may_have_run && request != live_.end()) {
       request->second.may_have_run = true;
@@ -245,11 +246,13 @@
     const start_attempt attempt = *start;
     starts[attempt.request_id % 2]++;
     now += duration{1000};
-    range.AttemptEnded(attempt.attempt_id, attempt_end::kAnswered, now, out);
+    range.AttemptEnded(attempt.attempt_id, attempt_outcome::kAnswered, now,
+                       out);
   }
   RC_ASSERT(starts[0] + starts[1] == 900);
   const double expected = 900.0 / (weight + 1);
-  RC_ASSERT(std::abs(starts[1] - expected) <= fair_queue::kMostAhead + kSlots);
+  RC_ASSERT(std::abs(starts[1] - expected) <=
+            fair_queue::kMaxStartsAhead + kSlots);
 }
 
 }  // namespace
--- a/tests/edge_parts_test.cc
+++ b/tests/edge_parts_test.cc
@@ -22,7 +22,7 @@
   int AllowedRetries(int attempts) {
     int allowed = 0;
     for (int i = 0; i < attempts; ++i) {
-      allowed += budget_.TryRepeat(now_) ? 1 : 0;
+      allowed += budget_.TryRetry(now_) ? 1 : 0;
     }
     return allowed;
   }
@@ -32,12 +32,12 @@
 };
 
 TEST_F(RetryBudgetTest, SlackIsDividedAmongHosts) {
-  budget_.SetHosts(10);
+  budget_.SetHostCount(10);
   EXPECT_EQ(AllowedRetries(100), 4);
 }
 
 TEST_F(RetryBudgetTest, RequestsRaiseTheBudget) {
-  budget_.SetHosts(10);
+  budget_.SetHostCount(10);
   for (int i = 0; i < 100; ++i) {
     budget_.OnRequest(now_);
   }
@@ -109,16 +109,18 @@
       .host = "a",
       .lease_revision = 78,
       .successors = {"b", "c"},
-      .view = store_view{.config_revision = 5, .targets = 1, .owners = 2},
+      .view =
+          store_view{
+              .config_revision = 5, .targets_digest = 1, .owners_digest = 2},
       .crashes = {{81, 2, seconds{3}}},
-      .hosts = 12,
+      .host_count = 12,
       .evacuated = evacuation_view{.zones = {"east", "west"}, .age_ms = 40}};
   EXPECT_EQ(ParseHostMessage(FormatHostMessage(report)).value(),
             host_message{report});
   EXPECT_EQ(ParseHostMessage(FormatHostMessage(heartbeat)).value(),
             host_message{heartbeat});
   const owners_record owners{.service = "keyed",
-                             .base = 11,
+                             .base_revision = 11,
                              .revision = 12,
                              .content = R"({"last_fence":3})"};
   EXPECT_EQ(ParseHostMessage(FormatHostMessage(owners)).value(),
@@ -171,13 +173,14 @@
 
   /// Lists objects a and b at revision 10.
   void List() {
-    ASSERT_TRUE(follower_.NextCall(now_)->list);
-    follower_.OnListed(
-        {.objects = {{"a", 4, 1}, {"b", 5, 2}}, .more = false, .revision = 10},
-        now_);
+    ASSERT_TRUE(follower_.NextCall(now_)->is_list);
+    follower_.OnListed({.objects = {{"a", 4, 1}, {"b", 5, 2}},
+                        .has_more = false,
+                        .revision = 10},
+                       now_);
   }
 
-  kind_follower<int> follower_{{.wait = seconds{1}}};
+  kind_follower<int> follower_{{.watch_timeout = seconds{1}}};
   time_point now_{seconds{100}};
 };
 
@@ -185,32 +188,33 @@
   List();
   const auto call = follower_.NextCall(now_);
   ASSERT_TRUE(call);
-  EXPECT_FALSE(call->list);
-  EXPECT_EQ(call->since, 10U);
+  EXPECT_FALSE(call->is_list);
+  EXPECT_EQ(call->since_revision, 10U);
   EXPECT_FALSE(follower_.NextCall(now_)) << "one call at a time";
 }
 
 TEST_F(KindFollowerTest, PagesAreJoinedAndWatchedFromTheirOldestRevision) {
   follower_.NextCall(now_);
   EXPECT_FALSE(follower_.OnListed(
-      {.objects = {{"a", 4, 1}}, .more = true, .revision = 10}, now_));
-  EXPECT_EQ(follower_.NextCall(now_)->after, "a");
+      {.objects = {{"a", 4, 1}}, .has_more = true, .revision = 10}, now_));
+  EXPECT_EQ(follower_.NextCall(now_)->after_name, "a");
   EXPECT_TRUE(follower_.OnListed(
-      {.objects = {{"b", 12, 2}}, .more = false, .revision = 13}, now_));
+      {.objects = {{"b", 12, 2}}, .has_more = false, .revision = 13}, now_));
   EXPECT_EQ(follower_.objects().size(), 2U);
-  EXPECT_EQ(follower_.NextCall(now_)->since, 10U);
+  EXPECT_EQ(follower_.NextCall(now_)->since_revision, 10U);
 }
 
 // Guards against every host calling the store for content that the lease holder
 // sends to all hosts.
 TEST_F(KindFollowerTest, PushedContentNeedsNoListWhileCallsAreSuppressed) {
-  kind_follower<int> pushed{{.wait = seconds{1}, .told_by_others = true}};
-  pushed.Spare(now_ + seconds{2});
+  kind_follower<int> pushed{
+      {.watch_timeout = seconds{1}, .pushed_by_peer = true}};
+  pushed.SuppressCalls(now_ + seconds{2});
   EXPECT_FALSE(pushed.NextCall(now_));
   now_ += seconds{2};
   const auto call = pushed.NextCall(now_);
   ASSERT_TRUE(call);
-  EXPECT_TRUE(call->list);
+  EXPECT_TRUE(call->is_list);
 }
 
 class StaleListTest : public ::testing::Test {
@@ -218,14 +222,16 @@
   /// Handles a stale list of a and b as of revision 10.
   void ListStale() {
     const auto call = follower_.NextCall(now_);
-    ASSERT_TRUE(call && call->list);
-    EXPECT_TRUE(call->stale);
-    EXPECT_FALSE(follower_.OnListed(
-        {.objects = {{"a", 4, 1}, {"b", 5, 2}}, .more = false, .revision = 10},
-        now_));
+    ASSERT_TRUE(call && call->is_list);
+    EXPECT_TRUE(call->allow_stale);
+    EXPECT_FALSE(follower_.OnListed({.objects = {{"a", 4, 1}, {"b", 5, 2}},
+                                     .has_more = false,
+                                     .revision = 10},
+                                    now_));
   }
 
-  kind_follower<int> follower_{{.wait = seconds{1}, .stale_lists = true}};
+  kind_follower<int> follower_{
+      {.watch_timeout = seconds{1}, .stale_lists = true}};
   time_point now_{seconds{100}};
 };
 
@@ -236,26 +242,27 @@
   EXPECT_FALSE(follower_.complete());
   const auto call = follower_.NextCall(now_);
   ASSERT_TRUE(call);
-  EXPECT_FALSE(call->list);
-  EXPECT_EQ(call->since, 10U);
-  EXPECT_EQ(call->wait, duration{0}) << "the response is needed immediately";
+  EXPECT_FALSE(call->is_list);
+  EXPECT_EQ(call->since_revision, 10U);
+  EXPECT_EQ(call->watch_timeout, duration{0})
+      << "the response is needed immediately";
   EXPECT_TRUE(follower_.OnWatched(
       {.changes = {{{"b", 12, {}}, true}}, .revision = 15}, now_));
   EXPECT_TRUE(follower_.complete());
   EXPECT_FALSE(follower_.objects().contains("b"));
-  EXPECT_EQ(follower_.NextCall(now_)->since, 15U);
+  EXPECT_EQ(follower_.NextCall(now_)->since_revision, 15U);
 }
 
 // Pages of a stale list may come from replicas of different ages. Watching from
 // the newer revision would miss the changes between the two.
 TEST_F(StaleListTest, PagesAreWatchedFromTheirOldestRevision) {
   follower_.NextCall(now_);
-  follower_.OnListed({.objects = {{"a", 4, 1}}, .more = true, .revision = 10},
-                     now_);
-  EXPECT_EQ(follower_.NextCall(now_)->after, "a");
-  follower_.OnListed({.objects = {{"b", 5, 2}}, .more = false, .revision = 8},
-                     now_);
-  EXPECT_EQ(follower_.NextCall(now_)->since, 8U);
+  follower_.OnListed(
+      {.objects = {{"a", 4, 1}}, .has_more = true, .revision = 10}, now_);
+  EXPECT_EQ(follower_.NextCall(now_)->after_name, "a");
+  follower_.OnListed(
+      {.objects = {{"b", 5, 2}}, .has_more = false, .revision = 8}, now_);
+  EXPECT_EQ(follower_.NextCall(now_)->since_revision, 8U);
 }
 
 // The copy in use is newer than a stale list and must not revert to it.
@@ -281,10 +288,10 @@
   follower_.NextCall(now_);
   follower_.OnHistoryGone(now_);
   const auto call = follower_.NextCall(now_);
-  ASSERT_TRUE(call && call->list);
-  EXPECT_FALSE(call->stale);
+  ASSERT_TRUE(call && call->is_list);
+  EXPECT_FALSE(call->allow_stale);
   EXPECT_TRUE(follower_.OnListed(
-      {.objects = {{"a", 4, 1}}, .more = false, .revision = 20}, now_));
+      {.objects = {{"a", 4, 1}}, .has_more = false, .revision = 20}, now_));
   EXPECT_TRUE(follower_.complete());
 }
 
@@ -311,9 +318,9 @@
   follower_.OnHistoryGone(now_);
   EXPECT_EQ(follower_.objects().size(), 2U)
       << "the copy is used until the list is complete";
-  ASSERT_TRUE(follower_.NextCall(now_)->list);
+  ASSERT_TRUE(follower_.NextCall(now_)->is_list);
   EXPECT_TRUE(follower_.OnListed(
-      {.objects = {{"b", 20, 3}}, .more = false, .revision = 21}, now_));
+      {.objects = {{"b", 20, 3}}, .has_more = false, .revision = 21}, now_));
   EXPECT_FALSE(follower_.objects().contains("a"));
 }
 
@@ -325,7 +332,7 @@
   follower_.Confirm(now_ + seconds{30}, now_ + seconds{31});
   const auto call = follower_.NextCall(now_ + seconds{31});
   ASSERT_TRUE(call);
-  EXPECT_TRUE(call->list);
+  EXPECT_TRUE(call->is_list);
 }
 
 // The store rejects a host for many seconds, and each rejected call is billed.
@@ -340,8 +347,8 @@
       ++calls;
       follower_.OnFailed(now_);
     }
-    max_pause = std::max(max_pause, follower_.NextDue() - now_);
-    now_ = follower_.NextDue();
+    max_pause = std::max(max_pause, follower_.NextCallTime() - now_);
+    now_ = follower_.NextCallTime();
   }
   EXPECT_LE(calls, 8) << "one per second";
   EXPECT_LE(max_pause, milliseconds{1600}) << "0.8 of the minimum drain time";
@@ -352,7 +359,7 @@
 TEST_F(KindFollowerTest, FailedCallIsRetriedWhenAnotherIsAnswered) {
   List();
   for (int i = 0; i < 6; ++i) {
-    now_ = follower_.NextDue();
+    now_ = follower_.NextCallTime();
     ASSERT_TRUE(follower_.NextCall(now_));
     follower_.OnFailed(now_);
   }
@@ -379,13 +386,13 @@
   follower_.ReadNow(now_);
   const auto call = follower_.NextCall(now_);
   ASSERT_TRUE(call);
-  EXPECT_FALSE(call->list);
-  EXPECT_EQ(call->wait, duration{0});
+  EXPECT_FALSE(call->is_list);
+  EXPECT_EQ(call->watch_timeout, duration{0});
   follower_.OnWatched({.changes = {}, .revision = 11}, now_);
-  now_ = follower_.NextDue();
+  now_ = follower_.NextCallTime();
   const auto next_call = follower_.NextCall(now_);
   ASSERT_TRUE(next_call);
-  EXPECT_GT(next_call->wait, duration{0});
+  EXPECT_GT(next_call->watch_timeout, duration{0});
 }
 
 // A confirmation arrives while a watch is in flight. The end of that watch must
@@ -409,20 +416,20 @@
   for (auto age = milliseconds{0}; age < seconds{4}; age += milliseconds{50}) {
     const store_view view{.config_revision = 1,
                           .age_ms = static_cast<uint32_t>(age.count())};
-    if (const auto until = VouchedUntil(view, seconds{2}, read_at + age)) {
+    if (const auto until = ViewValidUntil(view, seconds{2}, read_at + age)) {
       follower_.Confirm(read_at, *until);
     }
   }
-  EXPECT_LE(follower_.NextDue(), read_at + milliseconds{1700});
-  EXPECT_GE(follower_.NextDue(), read_at + milliseconds{1200})
+  EXPECT_LE(follower_.NextCallTime(), read_at + milliseconds{1700});
+  EXPECT_GE(follower_.NextCallTime(), read_at + milliseconds{1200})
       << "a single lost heartbeat should cost no call";
 }
 
 TEST_F(KindFollowerTest, CopyThatKeepsDifferingIsListedWithAPause) {
   List();
   follower_.Refresh(now_, now_ + milliseconds{900});
-  ASSERT_TRUE(follower_.NextCall(now_)->list);
-  follower_.OnListed({.objects = {}, .more = false, .revision = 30}, now_);
+  ASSERT_TRUE(follower_.NextCall(now_)->is_list);
+  follower_.OnListed({.objects = {}, .has_more = false, .revision = 30}, now_);
   follower_.Refresh(now_ + milliseconds{650}, now_ + milliseconds{1600});
   EXPECT_FALSE(follower_.NextCall(now_ + milliseconds{650}));
   follower_.Refresh(now_ + milliseconds{950}, now_ + milliseconds{1900});
@@ -432,25 +439,25 @@
 TEST_F(KindFollowerTest, CopyThatDiffersIsListedOnce) {
   List();
   follower_.Refresh(now_, now_ + milliseconds{900});
-  ASSERT_TRUE(follower_.NextCall(now_)->list);
-  follower_.OnListed({.objects = {{"a", 30, 1}}, .more = false, .revision = 30},
-                     now_);
+  ASSERT_TRUE(follower_.NextCall(now_)->is_list);
+  follower_.OnListed(
+      {.objects = {{"a", 30, 1}}, .has_more = false, .revision = 30}, now_);
   EXPECT_FALSE(follower_.NextCall(now_ + milliseconds{500}));
 }
 
 TEST_F(KindFollowerTest, FailedCallsAreRetriedWithAPause) {
   follower_.NextCall(now_);
   follower_.OnFailed(now_);
-  EXPECT_FALSE(follower_.answers());
+  EXPECT_FALSE(follower_.last_call_succeeded());
   EXPECT_FALSE(follower_.NextCall(now_));
-  now_ = follower_.NextDue();
+  now_ = follower_.NextCallTime();
   EXPECT_TRUE(follower_.NextCall(now_));
 }
 
 TEST_F(KindFollowerTest, UnparsableObjectIsKeptWithoutContent) {
   follower_.NextCall(now_);
   follower_.OnListed(
-      {.objects = {{"a", 4, std::nullopt}}, .more = false, .revision = 5},
+      {.objects = {{"a", 4, std::nullopt}}, .has_more = false, .revision = 5},
       now_);
   ASSERT_TRUE(follower_.objects().contains("a"));
   EXPECT_FALSE(follower_.objects().at("a").item);
--- a/tests/evacuation_test.cc
+++ b/tests/evacuation_test.cc
@@ -27,7 +27,7 @@
       service.name = keyed ? "keyed" : "pooled";
       service.keyed = keyed;
       service.cold_time = kColdTime;
-      service.cold_rate = 5.0;
+      service.cold_requests_per_second = 5.0;
       config_.services.push_back(service);
       route service_route;
       service_route.name = service.name;
@@ -85,13 +85,13 @@
                        .host = "shop.example",
                        .path = path,
                        .key = key_point{77},
-                       .patience = seconds{30}},
+                       .caller_timeout = seconds{30}},
                       now_, actions);
     return actions;
   }
 
-  own_answer_action Refusal(const std::string& service) {
-    return std::get<own_answer_action>(SendRequest(service).at(0));
+  local_reply_action Refusal(const std::string& service) {
+    return std::get<local_reply_action>(SendRequest(service).at(0));
   }
 
   /// Returns the targets that get requests until all slots are in use.
@@ -150,7 +150,7 @@
 // Guards against full load on a target that has just started.
 TEST_F(EvacuationTest, AddedTargetGetsRequestsWhenItIsWarm) {
   AddTarget("pooled", "here", "3");
-  targets_.back().warm_up = kColdTime;
+  targets_.back().remaining_cold_time = kColdTime;
   UpdateTargets();
   EXPECT_FALSE(TargetsReached("pooled").contains("pooled-here-3"));
   now_ += kColdTime;
@@ -159,7 +159,7 @@
 
 // Guards against requests to a target that becomes cold without a restart.
 TEST_F(EvacuationTest, TargetThatBecomesColdGetsNoRequests) {
-  targets_[0].warm_up = kColdTime;
+  targets_[0].remaining_cold_time = kColdTime;
   UpdateTargets();
   EXPECT_FALSE(TargetsReached("pooled").contains(targets_[0].life.id));
 }
@@ -171,9 +171,9 @@
   EXPECT_EQ(Refusal("pooled").reason, refusal_reason::kNoTarget);
   now_ += seconds{8};
   Evacuate({});
-  const own_answer_action refusal = Refusal("pooled");
+  const local_reply_action refusal = Refusal("pooled");
   EXPECT_EQ(refusal.reason, refusal_reason::kNoWarmTarget);
-  EXPECT_EQ(refusal.answer, own_answer::kNotRun);
+  EXPECT_EQ(refusal.reply, local_reply::kNotRun);
   ASSERT_TRUE(refusal.retry_after);
   EXPECT_GE(*refusal.retry_after, kColdTime / 2);
   EXPECT_EQ(Refusal("keyed").reason, refusal_reason::kNoWarmTarget);
@@ -183,11 +183,11 @@
 TEST(EvacuationsTest, OlderSetIsIgnored) {
   evacuations evacuated;
   const time_point now{seconds{100}};
-  EXPECT_TRUE(evacuated.Take({"here"}, now));
-  EXPECT_FALSE(evacuated.Take({}, now - milliseconds{1}));
+  EXPECT_TRUE(evacuated.Update({"here"}, now));
+  EXPECT_FALSE(evacuated.Update({}, now - milliseconds{1}));
   EXPECT_EQ(evacuated.zones(), std::set<std::string>{"here"});
-  EXPECT_FALSE(evacuated.Take({"here"}, now + milliseconds{1}));
-  EXPECT_TRUE(evacuated.Take({}, now + milliseconds{2}));
+  EXPECT_FALSE(evacuated.Update({"here"}, now + milliseconds{1}));
+  EXPECT_TRUE(evacuated.Update({}, now + milliseconds{2}));
 }
 
 }  // namespace
--- a/tests/fake_objects.h
+++ b/tests/fake_objects.h
@@ -20,18 +20,18 @@
 class fake_objects {
  public:
   result<object_state> Get(std::string_view key) {
-    if (Refuses()) {
-      return Down();
+    if (ConsumeRefusal()) {
+      return UnavailableError();
     }
-    return At(key);
+    return StateOf(key);
   }
 
   result<write_answer> Write(const conditional_write& write) {
     if (before_write) {
       std::exchange(before_write, nullptr)();
     }
-    if (Refuses()) {
-      return Down();
+    if (ConsumeRefusal()) {
+      return UnavailableError();
     }
     const write_outcome outcome =
         write.value
@@ -40,24 +40,24 @@
                   .value()
             : store_.Remove(write.key, write.expected_revision);
     if (outcome.verdict != write_verdict::kWritten) {
-      return write_answer{write_decision::kLostRace, At(write.key)};
+      return write_answer{write_decision::kLostRace, StateOf(write.key)};
     }
     ++writes;
-    if (lose_answers > 0) {
-      --lose_answers;
-      return Down();
+    if (answers_to_lose > 0) {
+      --answers_to_lose;
+      return UnavailableError();
     }
     return write_answer{write_decision::kAccepted, {outcome.revision, {}}};
   }
 
   result<std::vector<named_object>> List(std::string_view prefix) {
-    if (Refuses()) {
-      return Down();
+    if (ConsumeRefusal()) {
+      return UnavailableError();
     }
     std::vector<named_object> objects;
     for (const stored_object& object : store_.Changes(kNoRevision)) {
       if (!object.deleted && object.key.starts_with(prefix)) {
-        objects.push_back({object.key, At(object.key)});
+        objects.push_back({object.key, StateOf(object.key)});
       }
     }
     return objects;
@@ -73,13 +73,13 @@
   /// Overwrites the object unconditionally, as a concurrent writer would.
   void Put(const std::string& key, const nlohmann::json& value) {
     const result<write_outcome> outcome =
-        store_.Put(key, value.dump(), At(key).revision);
+        store_.Put(key, value.dump(), StateOf(key).revision);
     if (!outcome) {
       throw std::invalid_argument(outcome.error().Message());
     }
   }
 
-  object_state At(std::string_view key) const {
+  object_state StateOf(std::string_view key) const {
     const stored_object* found = store_.Get(key);
     if (found == nullptr) {
       return {};
@@ -89,17 +89,18 @@
 
   uint64_t Revision() const { return store_.Revision(); }
 
-  int refuse_calls = 0;  ///< Next calls that fail as if the platform were down.
-  int lose_answers = 0;  ///< Next writes that take effect without an answer.
-  int waits_left = 10;   ///< Calls of Wait that return true.
-  int writes = 0;        ///< Accepted calls of Write.
+  int calls_to_refuse =
+      0;  ///< Next calls that fail as if the platform were down.
+  int answers_to_lose = 0;  ///< Next writes that take effect without an answer.
+  int waits_left = 10;      ///< Calls of Wait that return true.
+  int writes = 0;           ///< Accepted calls of Write.
   std::function<void()> before_write;  ///< Runs once, in the next Write.
   std::function<void()> on_wait;       ///< Runs in each Wait.
 
  private:
-  bool Refuses() { return refuse_calls > 0 && refuse_calls-- > 0; }
+  bool ConsumeRefusal() { return calls_to_refuse > 0 && calls_to_refuse-- > 0; }
 
-  static error Down() {
+  static error UnavailableError() {
     return error{error_code::kUnavailable, "", "the connection was closed",
                  "try again"};
   }
--- a/tests/key_assigner_proof_test.cc
+++ b/tests/key_assigner_proof_test.cc
@@ -65,10 +65,10 @@
   void EndFaults() {
     world_.store_down = false;
     world_.evacuated_zones.clear();
-    world_.cut_zone.clear();
-    world_.lost_writes = 0.0;
-    world_.late_writes = 0.0;
-    world_.late_orders = 0.0;
+    world_.isolated_zone.clear();
+    world_.lost_write_answer_probability = 0.0;
+    world_.late_write_probability = 0.0;
+    world_.late_order_probability = 0.0;
     for (size_t i = 0; i < world_.host_count(); ++i) {
       auto& host = world_.host(i);
       host.reaches_store = true;
@@ -82,7 +82,7 @@
       auto& target = world_.target(i);
       target.reaches_store = true;
       target.unreachable_from.clear();
-      target.unheard_by.clear();
+      target.answers_lost_to.clear();
       if (!target.alive && !replaced_targets_.contains(i)) {
         world_.RestartTarget(i);
       }
@@ -107,17 +107,17 @@
     const size_t replaced_index = RandomBelow(world_.target_count());
     switch (RandomBelow(8)) {
       case 0:
-        world_.cut_zone = "zone-" + std::to_string(RandomBelow(3));
+        world_.isolated_zone = "zone-" + std::to_string(RandomBelow(3));
         break;
       case 1:
-        world_.cut_zone.clear();
+        world_.isolated_zone.clear();
         break;
       case 2:
-        target.unheard_by.insert(
+        target.answers_lost_to.insert(
             world_.host(RandomBelow(world_.host_count())).name);
         break;
       case 3:
-        target.unheard_by.clear();
+        target.answers_lost_to.clear();
         break;
       case 4:
         RestartAllHosts();
@@ -203,13 +203,13 @@
         world_.store_down = !world_.store_down;
         break;
       case 12:
-        world_.lost_writes = RandomBelow(2) == 0 ? 0.0 : 0.3;
+        world_.lost_write_answer_probability = RandomBelow(2) == 0 ? 0.0 : 0.3;
         break;
       case 13:
-        world_.late_writes = RandomBelow(2) == 0 ? 0.0 : 0.3;
+        world_.late_write_probability = RandomBelow(2) == 0 ? 0.0 : 0.3;
         break;
       case 14:
-        world_.late_orders = RandomBelow(2) == 0 ? 0.0 : 0.3;
+        world_.late_order_probability = RandomBelow(2) == 0 ? 0.0 : 0.3;
         break;
       default:
         break;
@@ -235,7 +235,7 @@
   injector.InjectFaults(options);
   injector.EndFaults();
   EXPECT_EQ(world.problem(), "") << "seed " << seed << '\n' << world.History();
-  EXPECT_EQ(world.UnownedKeys(), 0U) << "seed " << seed;
+  EXPECT_EQ(world.UnownedKeyCount(), 0U) << "seed " << seed;
   EXPECT_TRUE(world.holder()) << "seed " << seed;
 }
 
