--- a/tests/key_assigner_test.cc
+++ b/tests/key_assigner_test.cc
@@ -23,7 +23,8 @@
   bool IsReportedFree(std::string_view target, std::string_view reason) const {
     return std::any_of(world_.notes().begin(), world_.notes().end(),
                        [&](const assigner_note& note) {
-                         return note.what == assigner_note::kind::kKeysFree &&
+                         return note.note_kind ==
+                                    assigner_note::kind::kKeysFree &&
                                 note.target == target && note.detail == reason;
                        });
   }
@@ -35,22 +36,22 @@
 
 TEST_F(KeyAssignerTest, StartWithoutFaultsAssignsEveryKey) {
   world_.Run(kSettlingTime);
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
-  ASSERT_TRUE(world_.Recorded());
-  EXPECT_TRUE(CheckKeyMap(*world_.Recorded()));
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
+  ASSERT_TRUE(world_.RecordedMap());
+  EXPECT_TRUE(CheckKeyMap(*world_.RecordedMap()));
   for (size_t i = 0; i < world_.target_count(); ++i) {
-    EXPECT_GT(world_.KeysOf(i), 0U) << i;
+    EXPECT_GT(world_.HeldKeyCount(i), 0U) << i;
   }
 }
 
 TEST_F(KeyAssignerTest, NoKeyMovesWithoutFaults) {
   world_.Run(kSettlingTime);
-  const auto initial_map = world_.Recorded();
+  const auto initial_map = world_.RecordedMap();
   for (int i = 0; i < 600; ++i) {
     world_.Run(milliseconds{500});
-    ASSERT_EQ(world_.UnownedKeys(), 0U) << i;
+    ASSERT_EQ(world_.UnownedKeyCount(), 0U) << i;
   }
-  EXPECT_EQ(world_.Recorded(), initial_map);
+  EXPECT_EQ(world_.RecordedMap(), initial_map);
 }
 
 // The lease holder is killed. Grants last three seconds; unless a successor
@@ -61,7 +62,7 @@
   world_.KillHost(holder);
   for (int i = 0; i < 100; ++i) {
     world_.Run(milliseconds{100});
-    ASSERT_EQ(world_.UnownedKeys(), 0U) << i;
+    ASSERT_EQ(world_.UnownedKeyCount(), 0U) << i;
   }
   ASSERT_TRUE(world_.holder());
   EXPECT_NE(world_.holder().value(), holder);
@@ -93,11 +94,11 @@
 TEST_F(KeyAssignerTest, OldHeartbeatOfReturnedHolderDoesNotCauseTakeover) {
   key_assigner third({.host = "third", .zone = "z", .address = "third"});
   third.OnServices({});
-  third.OnStoreAnswers(true, world_.now());
+  third.OnStoreAvailability(true, world_.now());
   time_point now = world_.now();
   const auto read_lease = [&](const std::string& holder, uint64_t revision) {
     const assigner_lease lease{
-        .host = holder, .address = holder, .renewal = revision};
+        .host = holder, .address = holder, .renewal_count = revision};
     ASSERT_TRUE(
         third.OnObjects({{std::string{key_assigner::kLeaseName},
                           {.name = std::string{key_assigner::kLeaseName},
@@ -130,12 +131,12 @@
 TEST_F(KeyAssignerTest, WaitForLostHolderContinuesWithHeartbeatsOnly) {
   key_assigner third({.host = "third", .zone = "z", .address = "third"});
   third.OnServices({});
-  third.OnStoreAnswers(true, world_.now());
+  third.OnStoreAvailability(true, world_.now());
   time_point now = world_.now();
   const assigner_lease lease{
       .host = "second",
       .address = "second",
-      .predecessors = {{.host = "first", .may_renew = seconds{15}}}};
+      .predecessors = {{.host = "first", .renewal_time_left = seconds{15}}}};
   ASSERT_TRUE(third.OnObjects({{std::string{key_assigner::kLeaseName},
                                 {.name = std::string{key_assigner::kLeaseName},
                                  .revision = 2,
@@ -156,7 +157,8 @@
   const auto new_lease = ParseLease(std::get<store_write>(actions[0]).content);
   ASSERT_TRUE(new_lease);
   for (const former_holder& former : new_lease.value().predecessors) {
-    EXPECT_TRUE(former.host == "second" || former.may_renew <= seconds{1})
+    EXPECT_TRUE(former.host == "second" ||
+                former.renewal_time_left <= seconds{1})
         << former.host;
   }
 }
@@ -184,8 +186,8 @@
   world_.Run(kSettlingTime);
   world_.target(2).alive = false;
   world_.Run(milliseconds{5200});
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
-  EXPECT_EQ(world_.KeysOf(2), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
+  EXPECT_EQ(world_.HeldKeyCount(2), 0U);
 }
 
 // Guards against key moves without a logged reason.
@@ -214,7 +216,7 @@
   world_.Run(seconds{2});
   world_.StartHost(holder);
   world_.Run(seconds{6});
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 // A holder and a target are lost for good, and the holder's successor restarts
@@ -227,7 +229,7 @@
   world_.target(2).alive = false;
   world_.KillHost(first);
   world_.Run(seconds{14});
-  ASSERT_GT(world_.UnownedKeys(), 0U);
+  ASSERT_GT(world_.UnownedKeyCount(), 0U);
   ASSERT_TRUE(world_.holder());
   const size_t second = world_.holder().value();
   ASSERT_NE(second, first);
@@ -235,7 +237,7 @@
   world_.Run(milliseconds{500});
   world_.StartHost(second);
   world_.Run(milliseconds{8500});
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 // A holder and a target are lost for good, and a target of another service gets
@@ -249,10 +251,10 @@
   world_.target(2).alive = false;
   world_.KillHost(holder);
   world_.Run(seconds{3});
-  ASSERT_GT(world_.UnownedKeys(), 0U);
+  ASSERT_GT(world_.UnownedKeyCount(), 0U);
   world_.ReuseAddress(2);
   world_.Run(seconds{2});
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 // A target has stopped but is still listed, and another process at its address
@@ -260,11 +262,11 @@
 // another owner, and for longer each time the target is assigned keys again.
 TEST_F(KeyAssignerTest, TargetThatRejectsOrdersLosesItsKeys) {
   world_.Run(kSettlingTime);
-  ASSERT_GT(world_.KeysOf(2), 0U);
-  world_.target(2).rejects = true;
+  ASSERT_GT(world_.HeldKeyCount(2), 0U);
+  world_.target(2).rejects_orders = true;
   world_.Run(seconds{8});
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
-  EXPECT_EQ(world_.KeysOf(2), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
+  EXPECT_EQ(world_.HeldKeyCount(2), 0U);
 }
 
 // The holder is partitioned from the store and from all targets but one, and no
@@ -274,10 +276,10 @@
 TEST_F(KeyAssignerTest, HolderKeepsTargetsAfterPartitionEnds) {
   assigner_world world{{.hosts = 1, .targets = 6, .seed = 7}};
   world.Run(kSettlingTime);
-  const auto initial_map = world.Recorded();
+  const auto initial_map = world.RecordedMap();
   const auto set_partitioned = [&](bool partitioned) {
     world.host(0).reaches_store = !partitioned;
-    world.host(0).lists_targets = !partitioned;
+    world.host(0).gets_target_list = !partitioned;
     for (size_t i = 1; i < world.target_count(); ++i) {
       world.target(i).unreachable_from =
           partitioned ? std::set<std::string>{world.host(0).name}
@@ -287,12 +289,12 @@
   set_partitioned(true);
   world.Run(seconds{5});
   set_partitioned(false);
-  world.host(0).lists_targets = false;
+  world.host(0).gets_target_list = false;
   world.Run(seconds{1});
-  world.host(0).lists_targets = true;
+  world.host(0).gets_target_list = true;
   world.Run(seconds{11});
-  EXPECT_EQ(world.Recorded(), initial_map);
-  EXPECT_EQ(world.UnownedKeys(), 0U);
+  EXPECT_EQ(world.RecordedMap(), initial_map);
+  EXPECT_EQ(world.UnownedKeyCount(), 0U);
   EXPECT_EQ(world.problem(), "");
 }
 
@@ -300,11 +302,11 @@
 // its former keys are answered with 421 until these are granted again.
 TEST_F(KeyAssignerTest, RestartedTargetGetsKeysWithHigherFence) {
   world_.Run(kSettlingTime);
-  const fence_number initial_fence = world_.Recorded()->last_fence;
+  const fence_number initial_fence = world_.RecordedMap()->last_fence;
   world_.RestartTarget(1);
   world_.Run(seconds{1});
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
-  EXPECT_GT(world_.Recorded()->last_fence, initial_fence);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
+  EXPECT_GT(world_.RecordedMap()->last_fence, initial_fence);
 }
 
 // A target announces that it is draining. No request may reach it two seconds
@@ -313,8 +315,8 @@
   world_.Run(kSettlingTime);
   world_.target(3).entry.draining = true;
   world_.Run(milliseconds{600});
-  EXPECT_EQ(world_.KeysOf(3), 0U);
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.HeldKeyCount(3), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 // The store is unavailable for longer than a grant lasts. If grants were not
@@ -325,11 +327,11 @@
   world_.store_down = true;
   for (int i = 0; i < 100; ++i) {
     world_.Run(milliseconds{100});
-    ASSERT_EQ(world_.UnownedKeys(), 0U) << i;
+    ASSERT_EQ(world_.UnownedKeyCount(), 0U) << i;
   }
   world_.store_down = false;
   world_.Run(seconds{2});
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 // The holder is asked to stop while the store is unavailable, so no host can
@@ -339,10 +341,10 @@
   const size_t holder = world_.holder().value();
   world_.store_down = true;
   assigner_actions ignored;
-  world_.host(holder).assigner->Leave(world_.now(), ignored);
+  world_.host(holder).assigner->PrepareToStop(world_.now(), ignored);
   for (int i = 0; i < 55; ++i) {
     world_.Run(milliseconds{100});
-    ASSERT_EQ(world_.UnownedKeys(), 0U) << i;
+    ASSERT_EQ(world_.UnownedKeyCount(), 0U) << i;
   }
 }
 
@@ -353,11 +355,11 @@
   const size_t holder = world_.holder().value();
   world_.host(holder).reaches_store = false;
   world_.Run(seconds{3});
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
   world_.target(2).entry.draining = true;
   world_.Run(seconds{1});
-  EXPECT_EQ(world_.KeysOf(2), 0U);
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.HeldKeyCount(2), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 // A host loses the lease while its orders are in flight, and takes it again
@@ -366,11 +368,11 @@
 TEST_F(KeyAssignerTest, ReturnedHolderReassignsKeysOfLostTargets) {
   world_.Run(kSettlingTime);
   const size_t first = world_.holder().value();
-  world_.late_orders = 0.9;
+  world_.late_order_probability = 0.9;
   world_.Run(milliseconds{900});
   world_.host(first).reaches_store = false;
   world_.Run(seconds{3});
-  world_.late_orders = 0.0;
+  world_.late_order_probability = 0.0;
   world_.host(first).reaches_store = true;
   world_.Run(seconds{12});
   for (size_t i = 0; i < world_.host_count(); ++i) {
@@ -383,7 +385,7 @@
   for (size_t i = 0; i + 1 < world_.target_count(); ++i) {
     world_.target(i).alive = false;
     world_.Run(seconds{7});
-    EXPECT_EQ(world_.UnownedKeys(), 0U) << i;
+    EXPECT_EQ(world_.UnownedKeyCount(), 0U) << i;
   }
 }
 
@@ -397,15 +399,15 @@
     world_.target(i).unreachable_from.insert(world_.host(holder).name);
   }
   world_.Run(seconds{8});
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 TEST_F(KeyAssignerTest, AddedTargetGetsKeysWithinFourSeconds) {
   world_.Run(kSettlingTime);
   world_.AddTarget();
   world_.Run(seconds{4});
-  EXPECT_GT(world_.KeysOf(world_.target_count() - 1), 0U);
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_GT(world_.HeldKeyCount(world_.target_count() - 1), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 /// Runs with targets that remember (false) or forget (true) the fences of
@@ -429,13 +431,13 @@
   ASSERT_TRUE(world_.holder());
   ASSERT_NE(world_.holder().value(), lapsed);
   world_.target(2).entry.draining = true;
-  world_.late_orders = 0.3;
+  world_.late_order_probability = 0.3;
   world_.Run(seconds{3});
-  world_.late_orders = 0.0;
+  world_.late_order_probability = 0.0;
   world_.Run(seconds{25});
   EXPECT_EQ(world_.problem(), "") << world_.History();
-  EXPECT_EQ(world_.KeysOf(2), 0U);
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.HeldKeyCount(2), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(TargetsForgetReleases, LapsedHolderTest,
@@ -446,18 +448,18 @@
   world_.Run(kSettlingTime);
   world_.evacuated_zones = {"zone-1"};
   world_.Run(milliseconds{500});
-  EXPECT_EQ(world_.KeysOf(1) + world_.KeysOf(4), 0U);
-  EXPECT_EQ(world_.UnownedKeys(), 0U);
+  EXPECT_EQ(world_.HeldKeyCount(1) + world_.HeldKeyCount(4), 0U);
+  EXPECT_EQ(world_.UnownedKeyCount(), 0U);
 }
 
 // Guards against keys being taken from all targets when no other target can
 // own them.
 TEST_F(KeyAssignerTest, EvacuationOfAllZonesMovesNoKey) {
   world_.Run(kSettlingTime);
-  const auto initial_map = world_.Recorded();
+  const auto initial_map = world_.RecordedMap();
   world_.evacuated_zones = {"zone-0", "zone-1", "zone-2"};
   world_.Run(seconds{2});
-  EXPECT_EQ(world_.Recorded(), initial_map);
+  EXPECT_EQ(world_.RecordedMap(), initial_map);
 }
 
 // Guards against cold targets getting keys when the evacuation of their zone
@@ -470,9 +472,9 @@
   world.Run(seconds{2});
   world.evacuated_zones.clear();
   world.Run(milliseconds{2900});
-  EXPECT_EQ(world.KeysOf(1) + world.KeysOf(4), 0U);
+  EXPECT_EQ(world.HeldKeyCount(1) + world.HeldKeyCount(4), 0U);
   world.Run(seconds{5});
-  EXPECT_GT(world.KeysOf(1), 0U);
+  EXPECT_GT(world.HeldKeyCount(1), 0U);
   EXPECT_EQ(world.problem(), "");
 }
 
@@ -483,10 +485,10 @@
   world.Run(kSettlingTime);
   world.RestartTarget(2);
   world.Run(milliseconds{2500});
-  EXPECT_EQ(world.KeysOf(2), 0U);
-  EXPECT_EQ(world.UnownedKeys(), 0U);
+  EXPECT_EQ(world.HeldKeyCount(2), 0U);
+  EXPECT_EQ(world.UnownedKeyCount(), 0U);
   world.Run(seconds{6});
-  EXPECT_GT(world.KeysOf(2), 0U);
+  EXPECT_GT(world.HeldKeyCount(2), 0U);
   EXPECT_EQ(world.problem(), "");
 }
 
--- a/tests/key_balance_test.cc
+++ b/tests/key_balance_test.cc
@@ -17,7 +17,7 @@
     for (size_t i = 0; i < count; ++i) {
       targets_.push_back({.life = {.id = "t" + std::to_string(i)}});
     }
-    map_ = DealKeys(targets_, 1);
+    map_ = MakeInitialKeyMap(targets_, 1);
     for (key_range& range : map_.ranges) {
       range.granted = true;
     }
@@ -28,11 +28,11 @@
     size_t moved = 0;
     for (const key_move& move : PlanMoves(map_, loads_, targets_, limits)) {
       moved += size_t{move.last} - move.first + 1;
-      for (key_range& range : CutOut(map_, move.first, move.last)) {
-        range.owner = move.to;
+      for (key_range& range : SplitAtBounds(map_, move.first, move.last)) {
+        range.owner = move.new_owner;
       }
     }
-    JoinEqualNeighbours(map_);
+    MergeEqualNeighbours(map_);
     return moved;
   }
 
@@ -56,7 +56,7 @@
     for (const balance_target& target : targets_) {
       sums[target.life.id] = 0.0;
     }
-    for (size_t key = 0; key < kKeys; ++key) {
+    for (size_t key = 0; key < kKeyCount; ++key) {
       sums[map_.Find(static_cast<key_point>(key))->owner.id] += loads_[key];
     }
     return sums;
@@ -71,7 +71,7 @@
   }
 
   std::vector<balance_target> targets_;
-  std::vector<double> loads_ = std::vector<double>(kKeys, 0.0);
+  std::vector<double> loads_ = std::vector<double>(kKeyCount, 0.0);
   key_map map_;
 };
 
@@ -92,14 +92,14 @@
 // owner would be far over its capacity while the other targets are idle.
 TEST_F(KeyBalanceTest, HotNeighbouringKeysAreSpreadOverTargets) {
   AddTargets(10);
-  std::fill(loads_.begin(), loads_.end(), 100.0 / kKeys);
+  std::fill(loads_.begin(), loads_.end(), 100.0 / kKeyCount);
   for (size_t key = 32000; key < 32200; ++key) {
     loads_[key] += 100.0 / 200;
   }
   ASSERT_GT(MaxTargetLoad(), 100.0);
   const size_t moved = MoveUntilStable();
   EXPECT_LT(MaxTargetLoad(), 20.0 * 1.4);
-  EXPECT_LT(moved, kKeys / 2);
+  EXPECT_LT(moved, kKeyCount / 2);
 }
 
 // Four neighbouring keys get two fifths of all requests. The load of each is
@@ -107,7 +107,7 @@
 // they are far more than it can serve.
 TEST_F(KeyBalanceTest, NeighbouringKeysAboveAnyFairShareAreSeparated) {
   AddTargets(12);
-  std::fill(loads_.begin(), loads_.end(), 84.0 / kKeys);
+  std::fill(loads_.begin(), loads_.end(), 84.0 / kKeyCount);
   for (size_t key = 32000; key < 32004; ++key) {
     loads_[key] += 14.0;
   }
@@ -120,15 +120,16 @@
 // then overloaded itself, their requests are late for as long as they are hot.
 TEST_F(KeyBalanceTest, HotKeysAmongHundredsOfTargetsAreSpreadInOneRound) {
   AddTargets(233);
-  std::fill(loads_.begin(), loads_.end(), 530.0 / kKeys);
+  std::fill(loads_.begin(), loads_.end(), 530.0 / kKeyCount);
   for (size_t key = 32000; key < 32060; ++key) {
     loads_[key] += 350.0 / 60;
   }
   ASSERT_GT(MaxTargetLoad(), 300.0);
-  const size_t moved = PlanAndApplyMoves({.overload = 1.7, .underload = 0.25});
+  const size_t moved =
+      PlanAndApplyMoves({.overload_ratio = 1.7, .underload_ratio = 0.25});
   EXPECT_LT(MaxTargetLoad(), 12.0)
       << "a hot key of 5.8 requests/s on top of a fair share of 3.8";
-  EXPECT_LT(moved, kKeys / 2);
+  EXPECT_LT(moved, kKeyCount / 2);
 }
 
 // Each of hundreds of targets gets about four requests per second. Counts over
@@ -138,7 +139,7 @@
 TEST_F(KeyBalanceTest, RandomVariationAmongHundredsOfTargetsMovesFewKeys) {
   AddTargets(233);
   std::mt19937_64 random(5);
-  std::uniform_int_distribution<size_t> key(0, kKeys - 1);
+  std::uniform_int_distribution<size_t> key(0, kKeyCount - 1);
   constexpr duration kLoadTimeConstant{std::chrono::milliseconds{700}};
   // An average with that time constant weighs requests of about 1.4 s, twice
   // the time constant; 880 requests arrive per second.
@@ -149,11 +150,11 @@
     for (int i = 0; i < requests; ++i) {
       loads_[key(random)] += 1.0 / 1.4;
     }
-    moved +=
-        PlanMoves(
-            map_, loads_, targets_,
-            {.overload = 1.7, .underload = 0.25, .averaged = kLoadTimeConstant})
-            .size();
+    moved += PlanMoves(map_, loads_, targets_,
+                       {.overload_ratio = 1.7,
+                        .underload_ratio = 0.25,
+                        .load_time_constant = kLoadTimeConstant})
+                 .size();
   }
   EXPECT_LT(moved, 40U) << "more than two moves per plan";
 }
@@ -162,7 +163,7 @@
 // other keys of its owner move to other targets, and planning ends.
 TEST_F(KeyBalanceTest, SingleHotKeyStaysAloneWithItsOwner) {
   AddTargets(5);
-  std::fill(loads_.begin(), loads_.end(), 50.0 / kKeys);
+  std::fill(loads_.begin(), loads_.end(), 50.0 / kKeyCount);
   loads_[16000] = 80.0;
   MoveUntilStable();
   EXPECT_LT(MaxTargetLoad(), 80.0 * 1.15);
@@ -171,7 +172,7 @@
 TEST_F(KeyBalanceTest, TargetOfTwiceTheCapacityGetsAboutTwiceTheLoad) {
   AddTargets(4);
   targets_[0].capacity = 2.0;
-  std::fill(loads_.begin(), loads_.end(), 100.0 / kKeys);
+  std::fill(loads_.begin(), loads_.end(), 100.0 / kKeyCount);
   MoveUntilStable();
   const auto loads = LoadByTarget();
   EXPECT_GT(loads.at("t0"), 40.0 * 0.6);
@@ -180,7 +181,7 @@
 // A target has joined and owns no keys. It must get load within seconds.
 TEST_F(KeyBalanceTest, AddedTargetGetsAtLeastHalfItsFairShare) {
   AddTargets(8);
-  std::fill(loads_.begin(), loads_.end(), 200.0 / kKeys);
+  std::fill(loads_.begin(), loads_.end(), 200.0 / kKeyCount);
   targets_.push_back({.life = {.id = "new"}});
   MoveUntilStable();
   EXPECT_GT(LoadByTarget().at("new"), 200.0 / 9 * 0.5);
@@ -209,7 +210,7 @@
                  .last = kLastKey,
                  .owner = {.id = "b", .started = 6},
                  .fence = 9,
-                 .former = target_life{.id = "a", .started = 5}}};
+                 .former_owner = target_life{.id = "a", .started = 5}}};
   const auto parsed = ParseKeyMap(FormatKeyMap(map));
   ASSERT_TRUE(parsed) << parsed.error().Message();
   EXPECT_EQ(parsed.value(), map);
--- a/tests/key_load_test.cc
+++ b/tests/key_load_test.cc
@@ -18,16 +18,16 @@
 
 class KeyLoadTest : public ::testing::Test {
  protected:
-  KeyLoadTest() { load_.Average(now_); }
+  KeyLoadTest() { load_.UpdateAverages(now_); }
 
   /// Counts requests of one period and updates the averages once. Adds random
   /// requests at `rate` per second over all keys and at `hot_rate` over the hot
   /// keys.
   void RunPeriod(double rate, double hot_rate) {
-    CountRequests(rate, 0, kKeys - 1);
+    CountRequests(rate, 0, kKeyCount - 1);
     CountRequests(hot_rate, kHotFirst, kHotLast);
     now_ += kCountPeriod;
-    EXPECT_TRUE(load_.Average(now_));
+    EXPECT_TRUE(load_.UpdateAverages(now_));
   }
 
   void CountRequests(double rate, uint32_t first, uint32_t last) {
@@ -39,7 +39,7 @@
   }
 
   double RecentHotKeyRate() const {
-    const key_loads loads = load_.recent();
+    const key_loads loads = load_.recent_rates();
     return std::accumulate(loads.begin() + kHotFirst,
                            loads.begin() + kHotLast + 1, 0.0);
   }
@@ -74,23 +74,23 @@
   for (int i = 0; i < 200; ++i) {
     RunPeriod(300.0, 40.0);
   }
-  const key_loads loads = load_.steady();
+  const key_loads loads = load_.steady_rates();
   const double hot_rate = std::accumulate(loads.begin() + kHotFirst,
                                           loads.begin() + kHotLast + 1, 0.0);
   EXPECT_NEAR(hot_rate, 40.0, 10.0);
 }
 
 TEST_F(KeyLoadTest, KeysOutOfRangeAreIgnored) {
-  load_.Add(kKeys, 5);
+  load_.Add(kKeyCount, 5);
   now_ += kCountPeriod;
-  EXPECT_TRUE(load_.Average(now_));
-  EXPECT_EQ(load_.recent().size(), kKeys);
+  EXPECT_TRUE(load_.UpdateAverages(now_));
+  EXPECT_EQ(load_.recent_rates().size(), kKeyCount);
 }
 
 TEST_F(KeyLoadTest, CountsAreAveragedOnlyAfterAFullPeriod) {
   load_.Add(kHotFirst, 5);
-  EXPECT_FALSE(load_.Average(now_ + kCountPeriod / 2));
-  EXPECT_TRUE(load_.Average(now_ + kCountPeriod));
+  EXPECT_FALSE(load_.UpdateAverages(now_ + kCountPeriod / 2));
+  EXPECT_TRUE(load_.UpdateAverages(now_ + kCountPeriod));
   EXPECT_GT(RecentHotKeyRate(), 0.0);
 }
 
--- a/tests/key_map_test.cc
+++ b/tests/key_map_test.cc
@@ -33,20 +33,20 @@
   /// Assigns the keys from `first` to `last` to another owner.
   static void AssignToNewOwner(key_map& map, key_point first, key_point last) {
     ++map.last_fence;
-    for (key_range& range : CutOut(map, first, last)) {
+    for (key_range& range : SplitAtBounds(map, first, last)) {
       range.owner = {.id = "new", .started = 2};
       range.fence = map.last_fence;
     }
-    JoinEqualNeighbours(map);
+    MergeEqualNeighbours(map);
   }
 
   /// Formats and parses the changes from `before` to `after`, and applies them
   /// to `before`.
   static key_map SendChanges(const key_map& before, const key_map& after) {
-    const std::string sent = FormatKeyMap(KeyChanges(before, after));
+    const std::string sent = FormatKeyMap(DiffKeyMaps(before, after));
     const auto parsed = ParseKeyChanges(sent);
     EXPECT_TRUE(parsed);
-    auto applied = WithKeyChanges(before, parsed.value());
+    auto applied = ApplyKeyChanges(before, parsed.value());
     EXPECT_TRUE(applied);
     return applied ? std::move(applied.value()) : key_map{};
   }
@@ -66,7 +66,7 @@
 
 TEST_F(KeyMapTest, UnchangedMapHasNoChanges) {
   const key_map map = MakeEvenMap(8);
-  EXPECT_TRUE(KeyChanges(map, map).ranges.empty());
+  EXPECT_TRUE(DiffKeyMaps(map, map).ranges.empty());
   EXPECT_EQ(SendChanges(map, map), map);
 }
 
@@ -77,7 +77,7 @@
   const key_map before = MakeEvenMap(256);
   key_map after = before;
   AssignToNewOwner(after, 1000, 1100);
-  EXPECT_LT(FormatKeyMap(KeyChanges(before, after)).size(), 600U);
+  EXPECT_LT(FormatKeyMap(DiffKeyMaps(before, after)).size(), 600U);
   EXPECT_GT(FormatKeyMap(after).size(), 20000U);
 }
 
@@ -85,7 +85,7 @@
   key_map changes = MakeEvenMap(8);
   changes.ranges.resize(1);
   changes.ranges[0].last = 12000;
-  EXPECT_FALSE(WithKeyChanges(MakeEvenMap(8), changes));
+  EXPECT_FALSE(ApplyKeyChanges(MakeEvenMap(8), changes));
 }
 
 class OwnersRecordTest : public KeyMapTest {
@@ -93,7 +93,7 @@
   void SetUp() override {
     assigner_.OnServices({testing::KeyedService("s")});
     ASSERT_TRUE(assigner_.OnOwners({.service = "s",
-                                    .base = 0,
+                                    .base_revision = 0,
                                     .revision = 10,
                                     .content = FormatKeyMap(old_map_)}));
     AssignToNewOwner(new_map_, 100, 9000);
@@ -102,9 +102,9 @@
   status ReceiveChanges(uint64_t base, uint64_t revision) {
     return assigner_.OnOwners(
         {.service = "s",
-         .base = base,
+         .base_revision = base,
          .revision = revision,
-         .content = FormatKeyMap(KeyChanges(old_map_, new_map_))});
+         .content = FormatKeyMap(DiffKeyMaps(old_map_, new_map_))});
   }
 
   key_assigner assigner_{{.host = "h", .zone = "z", .address = "1:2"}};
@@ -128,7 +128,7 @@
 
 TEST_F(OwnersRecordTest, MalformedRecordIsRejected) {
   EXPECT_FALSE(assigner_.OnOwners(
-      {.service = "s", .base = 10, .revision = 11, .content = "{}"}));
+      {.service = "s", .base_revision = 10, .revision = 11, .content = "{}"}));
   EXPECT_EQ(*assigner_.MapOf("s"), old_map_);
 }
 
--- a/tests/object_store_test.cc
+++ b/tests/object_store_test.cc
@@ -77,9 +77,9 @@
   for (const char* key : {"", "/a", "a/", "a//b", "A", "a b", "a/../%"}) {
     EXPECT_FALSE(store_.Put(key, "1", kNoRevision)) << key;
   }
-  EXPECT_FALSE(store_.Put(std::string(kMaxObjectKey + 1, 'a'), "1", 0));
+  EXPECT_FALSE(store_.Put(std::string(kMaxObjectKeyBytes + 1, 'a'), "1", 0));
   EXPECT_FALSE(store_.Put("a", "{\"a\":1", kNoRevision));
-  const std::string large = '"' + std::string(kMaxObjectValue, 'x') + '"';
+  const std::string large = '"' + std::string(kMaxObjectValueBytes, 'x') + '"';
   EXPECT_EQ(store_.Put("a", large, kNoRevision).error().code,
             error_code::kTooLarge);
   EXPECT_EQ(store_.Revision(), kNoRevision);
@@ -133,14 +133,14 @@
   const watch_ticket late = watches.Add(6, seconds{99}, start);
   const watch_ticket disconnected = watches.Add(5, milliseconds{1}, start);
   watches.Remove(disconnected);
-  EXPECT_EQ(watches.NextEvent(), start + milliseconds{100});
+  EXPECT_EQ(watches.NextTimeout(), start + milliseconds{100});
   EXPECT_TRUE(watches.TakeDue(5, start + milliseconds{99}).empty());
   EXPECT_EQ(watches.TakeDue(5, start + milliseconds{100}),
             std::vector<watch_ticket>{early});
-  EXPECT_EQ(watches.NextEvent(), start + kMaxWatchTime);
+  EXPECT_EQ(watches.NextTimeout(), start + kMaxWatchWait);
   EXPECT_EQ(watches.TakeDue(7, start + milliseconds{200}),
             std::vector<watch_ticket>{late});
-  EXPECT_EQ(watches.NextEvent(), time_point::max());
+  EXPECT_EQ(watches.NextTimeout(), time_point::max());
 }
 
 // After an outage, all hosts call the platform at the same time. It refuses the
@@ -155,7 +155,7 @@
   EXPECT_TRUE(meter.Admit(call_kind::kRead, start));
   EXPECT_FALSE(meter.Admit(call_kind::kWrite, start + milliseconds{300}));
   EXPECT_TRUE(meter.Admit(call_kind::kWrite, start + milliseconds{400}));
-  meter.ReadBecameWatch();
+  meter.RecountReadAsWatch();
   EXPECT_EQ(meter.Counts().writes, 4U);
   EXPECT_EQ(meter.Counts().reads, 0U);
   EXPECT_EQ(meter.Counts().watches, 1U);
@@ -180,12 +180,12 @@
           .value();
   platform_faults both =
       ParsePlatformFaults(R"({"drop_clients":["trnje"]})", down).value();
-  EXPECT_TRUE(both.Drops("dubrava"));
+  EXPECT_TRUE(both.DropsCallsFrom("dubrava"));
   both.down = false;
-  EXPECT_TRUE(both.Drops("trnje"));
-  EXPECT_FALSE(both.Drops("dubrava"));
-  EXPECT_TRUE(both.LoseWriteAnswer());
-  EXPECT_FALSE(both.LoseWriteAnswer());
+  EXPECT_TRUE(both.DropsCallsFrom("trnje"));
+  EXPECT_FALSE(both.DropsCallsFrom("dubrava"));
+  EXPECT_TRUE(both.ConsumeLostWriteAnswer());
+  EXPECT_FALSE(both.ConsumeLostWriteAnswer());
   EXPECT_FALSE(ParsePlatformFaults(R"({"slow_ms":1e99})", {}));
   EXPECT_FALSE(ParsePlatformFaults(R"({"slow_ms":-1})", {}));
   EXPECT_FALSE(ParseListedHost("h", R"({"kind":"a","zone":"b","state":"x"})"));
--- a/tests/object_watch_test.cc
+++ b/tests/object_watch_test.cc
@@ -29,7 +29,7 @@
     ended.call_id = call_id;
     ended.end = platform_end::kOk;
     now_ += sync_timing{}.watch_wait;
-    sync_.OnPlatform(ended, now_);
+    sync_.OnPlatformEnded(ended, now_);
   }
 
   time_point now_{std::chrono::seconds{1000}};
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -206,7 +206,7 @@
   const std::vector<int> assigned = AssignZones(768, zones);
   for (size_t z = 0; z < zones.size(); ++z) {
     EXPECT_EQ(std::count(assigned.begin(), assigned.end(), z),
-              64 * zones[z].targets);
+              64 * zones[z].target_count);
   }
 }
 
@@ -214,7 +214,7 @@
   std::vector<zone_weight> zones{
       {"dubrava", 3}, {"trnje", 3}, {"sesvete", 3}, {"novi-zagreb", 3}};
   const std::vector<int> before = AssignZones(1024, zones);
-  zones[1].targets = 4;
+  zones[1].target_count = 4;
   const std::vector<int> after = AssignZones(1024, zones);
   int moved = 0;
   for (size_t b = 0; b < before.size(); ++b) {
--- a/tests/request_router_test.cc
+++ b/tests/request_router_test.cc
@@ -30,9 +30,9 @@
     router_.OnHostCount(1);
     AddService("orders", false);
     AddService("reports", true);
-    AddRoute("/orders/", "orders", repeat_rule::kAtMostOnce);
-    AddRoute("/looks/", "orders", repeat_rule::kIdempotent);
-    AddRoute("/reports/", "reports", repeat_rule::kIdempotent);
+    AddRoute("/orders/", "orders", retry_rule::kAtMostOnce);
+    AddRoute("/looks/", "orders", retry_rule::kIdempotent);
+    AddRoute("/reports/", "reports", retry_rule::kIdempotent);
     for (int i = 0; i < 3; ++i) {
       AddTarget("orders", "o" + std::to_string(i));
       AddTarget("reports", "r" + std::to_string(i));
@@ -49,12 +49,12 @@
   }
 
   void AddRoute(const std::string& prefix, const std::string& service,
-                repeat_rule repeat) {
+                retry_rule repeat) {
     route new_route;
     new_route.name = prefix;
     new_route.host = "shop.example";
     new_route.prefix = prefix;
-    new_route.repeat = repeat;
+    new_route.retry = repeat;
     new_route.objective = milliseconds{400};
     new_route.timeout = seconds{2};
     new_route.max_attempts = 2;
@@ -96,8 +96,8 @@
                        .host = "shop.example",
                        .path = path,
                        .key = key_point{77},
-                       .patience = seconds{3},
-                       .content = content_},
+                       .caller_timeout = seconds{3},
+                       .content_hash = content_},
                       now_, actions_);
     return actions_;
   }
@@ -139,9 +139,9 @@
 }
 
 TEST_F(RequestRouterTest, UnknownPathIsRefusedAsNoRoute) {
-  const auto refused = ActionsOf<own_answer_action>(SendRequest(1, "/else/7"));
+  const auto refused = ActionsOf<local_reply_action>(SendRequest(1, "/else/7"));
   ASSERT_EQ(refused.size(), 1U);
-  EXPECT_EQ(refused[0].answer, own_answer::kNoRoute);
+  EXPECT_EQ(refused[0].reply, local_reply::kNoRoute);
 }
 
 // A host that has just started has no configuration yet. A permanent error
@@ -150,9 +150,9 @@
   request_router new_router({.zone = "here", .retries = {}, .seed = 1});
   new_router.OnRequest({.id = 1, .host = "shop.example", .path = "/orders/"},
                        now_, actions_);
-  const auto refused = ActionsOf<own_answer_action>(actions_);
+  const auto refused = ActionsOf<local_reply_action>(actions_);
   ASSERT_EQ(refused.size(), 1U);
-  EXPECT_EQ(refused[0].answer, own_answer::kNotRun);
+  EXPECT_EQ(refused[0].reply, local_reply::kNotRun);
   EXPECT_TRUE(refused[0].retry_after);
 }
 
@@ -183,8 +183,8 @@
   SetKeyOwner("r1", false);
   SendRequest(1, "/reports/7");
   SendRequest(2, "/reports/7");
-  ASSERT_EQ(ActionsOf<own_answer_action>(AdvanceTime(milliseconds{350})).size(),
-            2U);
+  ASSERT_EQ(
+      ActionsOf<local_reply_action>(AdvanceTime(milliseconds{350})).size(), 2U);
   SetKeyOwner("r2", false);
   SendRequest(3, "/reports/7");
   EXPECT_TRUE(AdvanceTime(milliseconds{40}).empty());
@@ -199,10 +199,10 @@
   SetKeyOwner("r1", false);
   now_ += seconds{1};
   const auto refused =
-      ActionsOf<own_answer_action>(SendRequest(1, "/reports/7"));
+      ActionsOf<local_reply_action>(SendRequest(1, "/reports/7"));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].reason, refusal_reason::kNoOwner);
-  EXPECT_EQ(refused[0].answer, own_answer::kNotRun);
+  EXPECT_EQ(refused[0].reply, local_reply::kNotRun);
   ASSERT_TRUE(refused[0].retry_after);
   EXPECT_LE(*refused[0].retry_after, seconds{1});
 }
@@ -214,9 +214,9 @@
   SendRequest(1, "/orders/7");
   const auto& actions = EndAttempt(1, attempt_verdict::kBroken);
   EXPECT_TRUE(ActionsOf<send_action>(actions).empty());
-  const auto refused = ActionsOf<own_answer_action>(actions);
+  const auto refused = ActionsOf<local_reply_action>(actions);
   ASSERT_EQ(refused.size(), 1U);
-  EXPECT_EQ(refused[0].answer, own_answer::kUnknown);
+  EXPECT_EQ(refused[0].reply, local_reply::kUnknown);
   EXPECT_FALSE(refused[0].retry_after);
 }
 
@@ -234,9 +234,9 @@
   SendRequest(1, "/orders/7");
   EndAttempt(1, attempt_verdict::kShed);
   const auto refused =
-      ActionsOf<own_answer_action>(EndAttempt(1, attempt_verdict::kShed));
+      ActionsOf<local_reply_action>(EndAttempt(1, attempt_verdict::kShed));
   ASSERT_EQ(refused.size(), 1U);
-  EXPECT_EQ(refused[0].answer, own_answer::kNotRun);
+  EXPECT_EQ(refused[0].reply, local_reply::kNotRun);
   EXPECT_TRUE(refused[0].retry_after);
 }
 
@@ -253,9 +253,9 @@
   SendRequest(1, "/looks/7");
   EndAttempt(1, attempt_verdict::kBroken);
   const auto refused =
-      ActionsOf<own_answer_action>(EndAttempt(1, attempt_verdict::kShed));
+      ActionsOf<local_reply_action>(EndAttempt(1, attempt_verdict::kShed));
   ASSERT_EQ(refused.size(), 1U);
-  EXPECT_EQ(refused[0].answer, own_answer::kUnknown);
+  EXPECT_EQ(refused[0].reply, local_reply::kUnknown);
 }
 
 TEST_F(RequestRouterTest, ErrorAnswerToAnOrderIsPassedOn) {
@@ -275,7 +275,7 @@
   ASSERT_EQ(ActionsOf<send_action>(EndAttempt(1, attempt_verdict::kUnreachable))
                 .size(),
             1U);
-  EXPECT_EQ(router_.counts().repeats, 0U);
+  EXPECT_EQ(router_.counts().retries, 0U);
 }
 
 // All targets of a service break every attempt. Retries only add to the load,
@@ -289,8 +289,8 @@
     }
     now_ += milliseconds{10};
   }
-  EXPECT_GT(router_.counts().repeats, 0U);
-  EXPECT_LE(router_.counts().repeats, 0.2 * kRequests + 40.0);
+  EXPECT_GT(router_.counts().retries, 0U);
+  EXPECT_LE(router_.counts().retries, 0.2 * kRequests + 40.0);
 }
 
 // All targets of a service fail every request. If all of them were excluded,
@@ -335,9 +335,9 @@
   SendRequest(1, "/orders/7");
   const auto& actions = AdvanceTime(milliseconds{2001});
   EXPECT_EQ(ActionsOf<cancel_action>(actions).size(), 1U);
-  const auto refused = ActionsOf<own_answer_action>(actions);
+  const auto refused = ActionsOf<local_reply_action>(actions);
   ASSERT_EQ(refused.size(), 1U);
-  EXPECT_EQ(refused[0].answer, own_answer::kTimedOut);
+  EXPECT_EQ(refused[0].reply, local_reply::kTimedOut);
 }
 
 // A target accepts 50 connections from all hosts together and resets the rest.
@@ -365,13 +365,13 @@
        RequestThatTimesOutWhileConnectingMayBeReportedAsNotRun) {
   SendRequest(1, "/orders/7");
   const auto first_refusal =
-      ActionsOf<own_answer_action>(AdvanceTime(milliseconds{2001}));
+      ActionsOf<local_reply_action>(AdvanceTime(milliseconds{2001}));
   ASSERT_EQ(first_refusal.size(), 1U);
   EXPECT_TRUE(first_refusal[0].not_run_if_unwritten);
   SendRequest(2, "/looks/7");
   EndAttempt(2, attempt_verdict::kBroken);
   const auto second_refusal =
-      ActionsOf<own_answer_action>(AdvanceTime(milliseconds{2001}));
+      ActionsOf<local_reply_action>(AdvanceTime(milliseconds{2001}));
   ASSERT_EQ(second_refusal.size(), 1U);
   EXPECT_FALSE(second_refusal[0].not_run_if_unwritten);
 }
@@ -405,10 +405,10 @@
     ApplyConfig();
   }
   const auto refused =
-      ActionsOf<own_answer_action>(SendRequest(3, "/orders/7"));
+      ActionsOf<local_reply_action>(SendRequest(3, "/orders/7"));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].reason, refusal_reason::kCrashesTargets);
-  EXPECT_EQ(refused[0].answer, own_answer::kNotRun);
+  EXPECT_EQ(refused[0].reply, local_reply::kNotRun);
   content_ = 6;
   EXPECT_EQ(ActionsOf<send_action>(SendRequest(4, "/orders/8")).size(), 1U);
 }
@@ -471,18 +471,18 @@
 // times that are spread out.
 TEST_F(RequestRouterTest, OverloadIsRefusedAtOnceWithSpreadRetryAfter) {
   request_id id = 0;
-  std::vector<own_answer_action> refused;
+  std::vector<local_reply_action> refused;
   for (int i = 0; i < 300; ++i) {
     const auto new_refusals =
-        ActionsOf<own_answer_action>(SendRequest(++id, "/orders/7"));
+        ActionsOf<local_reply_action>(SendRequest(++id, "/orders/7"));
     refused.insert(refused.end(), new_refusals.begin(), new_refusals.end());
   }
   ASSERT_GT(refused.size(), 100U);
   duration min_retry_after = seconds{10};
   duration max_retry_after{0};
-  for (const own_answer_action& refusal : refused) {
+  for (const local_reply_action& refusal : refused) {
     EXPECT_EQ(refusal.reason, refusal_reason::kQueueFull);
-    EXPECT_EQ(refusal.account.age, duration{0});
+    EXPECT_EQ(refusal.summary.age, duration{0});
     min_retry_after =
         std::min(min_retry_after, refusal.retry_after.value_or(duration{0}));
     max_retry_after =
@@ -536,7 +536,7 @@
 }
 
 TEST(SplitDealerTest, SharesFollowTheWeightsAfterEveryRequest) {
-  split_dealer dealer;
+  traffic_splitter dealer;
   const std::vector<weighted_service> parts = {{"a", 90}, {"b", 10}};
   int to_b = 0;
   for (int i = 1; i <= 200; ++i) {
@@ -556,10 +556,11 @@
     config.routes.push_back(new_route);
   }
   const route_table table(config);
-  EXPECT_EQ(table.Find("shop.example:8080", "/a/b/c?x=/a/")->prefix, "/a/b/");
-  EXPECT_EQ(table.Find("SHOP.example", "/a/bc")->prefix, "/a/");
-  EXPECT_EQ(table.Find("shop.example", "/x")->prefix, "/");
-  EXPECT_EQ(table.Find("other.example", "/a/"), nullptr);
+  EXPECT_EQ(table.FindRoute("shop.example:8080", "/a/b/c?x=/a/")->prefix,
+            "/a/b/");
+  EXPECT_EQ(table.FindRoute("SHOP.example", "/a/bc")->prefix, "/a/");
+  EXPECT_EQ(table.FindRoute("shop.example", "/x")->prefix, "/");
+  EXPECT_EQ(table.FindRoute("other.example", "/a/"), nullptr);
 }
 
 }  // namespace
--- a/tests/support/assigner_world.cc
+++ b/tests/support/assigner_world.cc
@@ -47,9 +47,9 @@
   target.alive = true;
   target.silent_since.reset();
   ++target.entry.life.started;
-  target.seen = {};
-  target.holds = {};
-  target.entry.warm_up = options_.cold_time;
+  target.highest_seen_fences = {};
+  target.held_grants = {};
+  target.entry.remaining_cold_time = options_.cold_time;
 }
 
 void assigner_world::ReuseAddress(size_t index) {
@@ -61,38 +61,39 @@
 
 void assigner_world::KillHost(size_t index) {
   hosts_[index].alive = false;
-  ++hosts_[index].life;
+  ++hosts_[index].incarnation;
 }
 
 void assigner_world::StartHost(size_t index) {
   world_host& host = hosts_[index];
   host.alive = true;
-  ++host.life;
+  ++host.incarnation;
   host.seen_revision = 0;
-  host.connection_of.clear();
+  host.connection_by_target.clear();
   host.assigner = std::make_unique<key_assigner>(assigner_settings{
       .host = host.name,
       .zone = host.zone,
       .address = host.name,
       .targets_keep_release_fences = !options_.targets_forget_releases,
-      .hold = seconds{3},
+      .grant_ttl = seconds{3},
       .seed = random_()});
   service_settings service;
   service.name = kService;
   service.keyed = true;
   service.cold_time = options_.cold_time;
-  service.cold_rate = options_.cold_time > duration{0} ? 1.0 : 0.0;
+  service.cold_requests_per_second =
+      options_.cold_time > duration{0} ? 1.0 : 0.0;
   service_settings other;
   other.name = kOtherService;
   host.assigner->OnServices({service, other});
 }
 
-bool assigner_world::Chance(double part) {
+bool assigner_world::DrawBernoulli(double part) {
   return std::uniform_real_distribution<double>(0.0, 1.0)(random_) < part;
 }
 
-void assigner_world::Later(duration delay, std::function<void()> run) {
-  deliveries_.push_back({now_ + delay, std::move(run)});
+void assigner_world::ScheduleAfter(duration delay, std::function<void()> run) {
+  scheduled_callbacks_.push_back({now_ + delay, std::move(run)});
 }
 
 void assigner_world::Run(duration time) {
@@ -104,39 +105,42 @@
 
 void assigner_world::Step() {
   now_ += kStep;
-  std::vector<delivery> due_callbacks;
-  for (auto it = deliveries_.begin(); it != deliveries_.end();) {
-    if (it->at <= now_) {
+  std::vector<scheduled_callback> due_callbacks;
+  for (auto it = scheduled_callbacks_.begin();
+       it != scheduled_callbacks_.end();) {
+    if (it->due_at <= now_) {
       due_callbacks.push_back(std::move(*it));
-      it = deliveries_.erase(it);
+      it = scheduled_callbacks_.erase(it);
     } else {
       ++it;
     }
   }
   std::stable_sort(
       due_callbacks.begin(), due_callbacks.end(),
-      [](const delivery& a, const delivery& b) { return a.at < b.at; });
-  for (const delivery& scheduled : due_callbacks) {
-    scheduled.run();
+      [](const scheduled_callback& a, const scheduled_callback& b) {
+        return a.due_at < b.due_at;
+      });
+  for (const scheduled_callback& scheduled : due_callbacks) {
+    scheduled.callback();
   }
   for (size_t i = 0; i < hosts_.size(); ++i) {
     if (hosts_[i].alive && now_ >= hosts_[i].frozen_until) {
       StepHost(i);
     }
   }
-  CheckHolds();
+  CheckOwnership();
 }
 
-std::vector<target_entry> assigner_world::Listed() {
+std::vector<target_entry> assigner_world::ListedTargets() {
   std::vector<target_entry> listed;
   for (world_target& target : targets_) {
     const bool reports = target.alive && target.reaches_store && !store_down &&
-                         target.entry.zone != cut_zone;
+                         target.entry.zone != isolated_zone;
     if (reports) {
       target.silent_since.reset();
       ++target.entry.sequence;
-      target.entry.warm_up =
-          std::max(target.entry.warm_up - kStep, duration{0});
+      target.entry.remaining_cold_time =
+          std::max(target.entry.remaining_cold_time - kStep, duration{0});
     } else if (!target.silent_since) {
       target.silent_since = now_;
     }
@@ -152,47 +156,49 @@
 void assigner_world::StepHost(size_t index) {
   world_host& host = hosts_[index];
   const bool store_reachable = ReachesStore(host);
-  host.assigner->OnStoreAnswers(store_reachable, now_);
-  const std::vector<target_entry> listed = Listed();
-  if (store_reachable && host.lists_targets) {
+  host.assigner->OnStoreAvailability(store_reachable, now_);
+  const std::vector<target_entry> listed = ListedTargets();
+  if (store_reachable && host.gets_target_list) {
     host.assigner->OnTargets(listed, false, now_);
     host.assigner->OnEvacuations(evacuated_zones, now_);
   }
   if (store_reachable) {
     if (host.seen_revision < revision_) {
       host.seen_revision = revision_;
-      key_assigner::own_objects objects;
+      key_assigner::system_objects objects;
       for (const auto& [name, object] : objects_) {
         objects[name] = {
             .name = name, .revision = object.revision, .item = object.content};
       }
       if (const status accepted = host.assigner->OnObjects(objects, now_);
           !accepted) {
-        Fail(accepted.error().Message());
+        RecordProblem(accepted.error().Message());
       }
     }
   }
-  if (now_ >= host.report_at && host.assigner->lease()) {
-    host.report_at = now_ + seconds{1};
+  if (now_ >= host.next_report_at && host.assigner->lease()) {
+    host.next_report_at = now_ + seconds{1};
     const load_report report{.host = host.name,
                              .zone = host.zone,
                              .address = host.name,
                              .lease_revision = host.assigner->lease_revision(),
                              .services = {},
                              .targets = {}};
-    if (world_host* holder = Reach(host, host.assigner->lease()->address)) {
+    if (world_host* holder =
+            FindReachableHost(host, host.assigner->lease()->address)) {
       holder->assigner->OnReport(report, now_);
     }
   }
   assigner_actions actions;
   host.assigner->OnTime(now_, actions);
-  Carry(index, actions);
+  ExecuteActions(index, actions);
 }
 
-world_host* assigner_world::Reach(const world_host& from,
-                                  const std::string& address) {
+world_host* assigner_world::FindReachableHost(const world_host& from,
+                                              const std::string& address) {
   for (world_host& other : hosts_) {
-    if (other.alive && other.name == address && !IsCut(from.zone, other.zone) &&
+    if (other.alive && other.name == address &&
+        !IsPartitioned(from.zone, other.zone) &&
         !from.unreachable_hosts.contains(other.name) &&
         !other.unreachable_hosts.contains(from.name)) {
       return &other;
@@ -201,105 +207,108 @@
   return nullptr;
 }
 
-void assigner_world::Carry(size_t index, const assigner_actions& actions) {
+void assigner_world::ExecuteActions(size_t index,
+                                    const assigner_actions& actions) {
   for (const assigner_action& action : actions) {
     if (const auto* note = std::get_if<assigner_note>(&action)) {
       notes_.push_back(*note);
     } else if (const auto* write = std::get_if<store_write>(&action)) {
-      CarryWrite(index, *write);
+      SendWrite(index, *write);
     } else if (const auto* order = std::get_if<key_order>(&action)) {
-      CarryOrder(index, *order);
+      SendOrder(index, *order);
     } else if (const auto* heartbeat = std::get_if<heartbeat_action>(&action)) {
-      Send(hosts_[index], heartbeat->hops, [&](key_assigner& receiver) {
+      SendFanout(hosts_[index], heartbeat->hops, [&](key_assigner& receiver) {
         receiver.OnHeartbeat(heartbeat->heartbeat, now_);
       });
     } else if (options_.datagrams) {
-      CarryDatagram(index, action);
+      SendDatagram(index, action);
     }
   }
 }
 
-void assigner_world::CarryDatagram(size_t index,
-                                   const assigner_action& action) {
-  if (const auto* share = std::get_if<share_action>(&action)) {
-    Send(hosts_[index], share->hops, [&](key_assigner& receiver) {
+void assigner_world::SendDatagram(size_t index, const assigner_action& action) {
+  if (const auto* share = std::get_if<share_owners_action>(&action)) {
+    SendFanout(hosts_[index], share->hops, [&](key_assigner& receiver) {
       if (const status accepted = receiver.OnOwners(share->record); !accepted) {
-        Fail(accepted.error().Message());
+        RecordProblem(accepted.error().Message());
       }
     });
-  } else if (const auto* host_list = std::get_if<hosts_action>(&action)) {
-    if (world_host* receiver = Reach(hosts_[index], host_list->address)) {
+  } else if (const auto* host_list = std::get_if<share_hosts_action>(&action)) {
+    if (world_host* receiver =
+            FindReachableHost(hosts_[index], host_list->address)) {
       receiver->assigner->OnHosts(host_list->record, now_);
     }
   }
 }
 
-void assigner_world::Send(const world_host& from,
-                          const std::vector<fanout_hop>& hops,
-                          const std::function<void(key_assigner&)>& deliver) {
+void assigner_world::SendFanout(
+    const world_host& from, const std::vector<fanout_hop>& hops,
+    const std::function<void(key_assigner&)>& deliver) {
   for (const fanout_hop& hop : hops) {
-    world_host* relay = Reach(from, hop.address);
+    world_host* relay = FindReachableHost(from, hop.address);
     if (relay == nullptr) {
       continue;
     }
     deliver(*relay->assigner);
     for (const std::string& address : hop.forward_to) {
-      if (world_host* receiver = Reach(*relay, address)) {
+      if (world_host* receiver = FindReachableHost(*relay, address)) {
         deliver(*receiver->assigner);
       }
     }
   }
 }
 
-write_report assigner_world::Apply(const store_write& write) {
+write_report assigner_world::ApplyWrite(const store_write& write) {
   const auto found = objects_.find(write.name);
   const uint64_t current = found == objects_.end() ? 0 : found->second.revision;
   if (current != write.expected_revision) {
     return {.id = write.id,
-            .end = write_end::kConflict,
+            .outcome = conditional_write_outcome::kConflict,
             .revision = current,
             .content = found == objects_.end() ? "" : found->second.content};
   }
-  Note("store write of " + write.name + " at revision " +
-       std::to_string(revision_ + 1) + ": " + write.content.substr(0, 3000));
+  RecordEvent("store write of " + write.name + " at revision " +
+              std::to_string(revision_ + 1) + ": " +
+              write.content.substr(0, 3000));
   objects_[write.name] = {++revision_, write.content};
   return {.id = write.id,
-          .end = write_end::kWritten,
+          .outcome = conditional_write_outcome::kWritten,
           .revision = revision_,
           .content = write.content};
 }
 
-void assigner_world::CarryWrite(size_t index, const store_write& write) {
+void assigner_world::SendWrite(size_t index, const store_write& write) {
   world_host& host = hosts_[index];
-  const uint64_t incarnation = host.life;
+  const uint64_t incarnation = host.incarnation;
   const auto report_end = [this, index,
                            incarnation](const write_report& report) {
-    if (!hosts_[index].alive || hosts_[index].life != incarnation) {
+    if (!hosts_[index].alive || hosts_[index].incarnation != incarnation) {
       return;
     }
     assigner_actions actions;
     hosts_[index].assigner->OnWriteEnded(report, now_, actions);
-    Carry(index, actions);
+    ExecuteActions(index, actions);
   };
   if (!ReachesStore(host)) {
-    Later(milliseconds{300}, [report_end, id = write.id] {
-      report_end({.id = id, .end = write_end::kUnknown});
+    ScheduleAfter(milliseconds{300}, [report_end, id = write.id] {
+      report_end({.id = id, .outcome = conditional_write_outcome::kUnknown});
     });
     return;
   }
-  const bool is_late = Chance(late_writes);
-  const bool answer_lost = is_late || Chance(lost_writes);
+  const bool is_late = DrawBernoulli(late_write_probability);
+  const bool answer_lost =
+      is_late || DrawBernoulli(lost_write_answer_probability);
   const duration delay =
       is_late ? duration{seconds{1 + random_() % 5}} : kStoreLatency;
-  Later(delay, [this, write, answer_lost, report_end] {
-    const write_report report = Apply(write);
+  ScheduleAfter(delay, [this, write, answer_lost, report_end] {
+    const write_report report = ApplyWrite(write);
     if (!answer_lost) {
       report_end(report);
     }
   });
   if (answer_lost) {
-    Later(milliseconds{800}, [report_end, id = write.id] {
-      report_end({.id = id, .end = write_end::kUnknown});
+    ScheduleAfter(milliseconds{800}, [report_end, id = write.id] {
+      report_end({.id = id, .outcome = conditional_write_outcome::kUnknown});
     });
   }
 }
@@ -320,148 +329,157 @@
 
 order_report assigner_world::ApplyOrder(const key_order& order,
                                         time_point arrived) {
-  order_report report{.id = order.id, .end = order_end::kDone};
+  order_report report{.id = order.id, .outcome = order_outcome::kDone};
   world_target& target = TargetAt(order.address);
-  Note((order.grant ? "grant " : "release ") + order.target.id + "@" +
-       std::to_string(target.entry.life.started) + " " +
-       std::to_string(order.first) + "-" + std::to_string(order.last) +
-       " fence " + std::to_string(order.fence) + " order " +
-       std::to_string(order.id));
+  RecordEvent((order.is_grant ? "grant " : "release ") + order.target.id + "@" +
+              std::to_string(target.entry.life.started) + " " +
+              std::to_string(order.first) + "-" + std::to_string(order.last) +
+              " fence " + std::to_string(order.fence) + " order " +
+              std::to_string(order.id));
   const auto is_in_order_range = [&](size_t i) {
     return order.first <= WatchedKey(i) && WatchedKey(i) <= order.last;
   };
-  for (size_t i = 0; i < kWatchedKeys; ++i) {
-    if (order.grant && is_in_order_range(i) && target.seen[i] > order.fence &&
+  for (size_t i = 0; i < kWatchedKeyCount; ++i) {
+    if (order.is_grant && is_in_order_range(i) &&
+        target.highest_seen_fences[i] > order.fence &&
         !options_.targets_ignore_fences) {
-      report.end = order_end::kFenced;
+      report.outcome = order_outcome::kFenced;
       return report;
     }
   }
-  for (size_t i = 0; i < kWatchedKeys; ++i) {
+  for (size_t i = 0; i < kWatchedKeyCount; ++i) {
     if (!is_in_order_range(i)) {
       continue;
     }
-    if (!order.grant) {
-      if (target.holds[i] || !options_.targets_forget_releases) {
-        target.seen[i] = std::max(target.seen[i], order.fence);
+    if (!order.is_grant) {
+      if (target.held_grants[i] || !options_.targets_forget_releases) {
+        target.highest_seen_fences[i] =
+            std::max(target.highest_seen_fences[i], order.fence);
       }
-      target.holds[i].reset();
+      target.held_grants[i].reset();
       continue;
     }
-    target.seen[i] = std::max(target.seen[i], order.fence);
-    if (arrived + order.hold <= now_) {
+    target.highest_seen_fences[i] =
+        std::max(target.highest_seen_fences[i], order.fence);
+    if (arrived + order.grant_ttl <= now_) {
       continue;  // The grant has expired; it is valid from its arrival.
     }
-    const bool owner_changes = highest_of_[i].id != target.entry.life.id;
-    if (owner_changes && order.fence <= highest_[i]) {
-      Fail("key " + std::to_string(WatchedKey(i)) + ": " +
-           target.entry.life.id + " accepted a grant with fence " +
-           std::to_string(order.fence) +
-           ", which is not above the highest fence " +
-           std::to_string(highest_[i]) + "; the grant arrived " +
-           std::to_string(
-               std::chrono::duration_cast<milliseconds>(now_ - arrived)
-                   .count()) +
-           " ms earlier");
+    const bool owner_changes =
+        highest_fence_owners_[i].id != target.entry.life.id;
+    if (owner_changes && order.fence <= highest_fences_[i]) {
+      RecordProblem(
+          "key " + std::to_string(WatchedKey(i)) + ": " + target.entry.life.id +
+          " accepted a grant with fence " + std::to_string(order.fence) +
+          ", which is not above the highest fence " +
+          std::to_string(highest_fences_[i]) + "; the grant arrived " +
+          std::to_string(
+              std::chrono::duration_cast<milliseconds>(now_ - arrived)
+                  .count()) +
+          " ms earlier");
     }
-    if (order.fence >= highest_[i]) {
-      highest_[i] = order.fence;
-      highest_of_[i] = target.entry.life;
+    if (order.fence >= highest_fences_[i]) {
+      highest_fences_[i] = order.fence;
+      highest_fence_owners_[i] = target.entry.life;
     }
-    target.holds[i] = {order.fence, arrived + order.hold};
+    target.held_grants[i] = {order.fence, arrived + order.grant_ttl};
   }
-  report.handover = "state";
+  report.handover_token = "state";
   return report;
 }
 
-void assigner_world::Report(size_t host, uint64_t life,
-                            const order_report& report) {
-  if (!hosts_[host].alive || hosts_[host].life != life) {
+void assigner_world::DeliverReport(size_t host, uint64_t life,
+                                   const order_report& report) {
+  if (!hosts_[host].alive || hosts_[host].incarnation != life) {
     return;
   }
   assigner_actions actions;
   hosts_[host].assigner->OnOrderEnded(report, now_, actions);
-  Carry(host, actions);
+  ExecuteActions(host, actions);
 }
 
-void assigner_world::CarryOrder(size_t index, const key_order& order) {
+void assigner_world::SendOrder(size_t index, const key_order& order) {
   world_host& host = hosts_[index];
-  const uint64_t incarnation = host.life;
+  const uint64_t incarnation = host.incarnation;
   const world_target& target = TargetAt(order.address);
   const std::string process_key =
       target.entry.life.id + "@" + std::to_string(target.entry.life.started);
-  uint64_t& connection = host.connection_of[process_key];
-  if (order.newest_connection != 0 &&
-      (connection == 0 || connection > order.newest_connection)) {
-    Later(kOrderLatency, [this, index, incarnation, id = order.id] {
-      Report(index, incarnation, {.id = id, .end = order_end::kNotSent});
+  uint64_t& connection = host.connection_by_target[process_key];
+  if (order.max_connection_number != 0 &&
+      (connection == 0 || connection > order.max_connection_number)) {
+    ScheduleAfter(kOrderLatency, [this, index, incarnation, id = order.id] {
+      DeliverReport(index, incarnation,
+                    {.id = id, .outcome = order_outcome::kNotSent});
     });
     return;
   }
   const bool reachable = target.alive &&
                          !target.unreachable_from.contains(host.name) &&
-                         !IsCut(host.zone, target.entry.zone);
+                         !IsPartitioned(host.zone, target.entry.zone);
   if (!reachable) {
-    const order_end end = connection == 0 || target.alive
-                              ? order_end::kNotSent
-                              : order_end::kNoProcess;
+    const order_outcome end = connection == 0 || target.alive
+                                  ? order_outcome::kNotSent
+                                  : order_outcome::kNoProcess;
     connection = 0;
-    Later(milliseconds{250}, [this, index, incarnation, id = order.id, end] {
-      Report(index, incarnation, {.id = id, .end = end});
-    });
+    ScheduleAfter(
+        milliseconds{250}, [this, index, incarnation, id = order.id, end] {
+          DeliverReport(index, incarnation, {.id = id, .outcome = end});
+        });
     return;
   }
   if (connection == 0) {
-    connection = ++host.connections;
+    connection = ++host.last_connection;
   }
-  if (Chance(late_orders)) {
+  if (DrawBernoulli(late_order_probability)) {
     // The order arrives now and is executed later, without an answer.
     const time_point arrived = now_;
     const uint64_t started = target.entry.life.started;
     const size_t target_index = static_cast<size_t>(&target - targets_.data());
-    Later(seconds{2 + random_() % 8},
-          [this, order, arrived, target_index, started] {
-            if (targets_[target_index].alive &&
-                targets_[target_index].entry.life.started == started) {
-              ApplyOrder(order, arrived);
-            }
-          });
-    Later(milliseconds{500}, [this, index, incarnation, id = order.id] {
-      Report(index, incarnation, {.id = id, .end = order_end::kUnanswered});
+    ScheduleAfter(seconds{2 + random_() % 8},
+                  [this, order, arrived, target_index, started] {
+                    if (targets_[target_index].alive &&
+                        targets_[target_index].entry.life.started == started) {
+                      ApplyOrder(order, arrived);
+                    }
+                  });
+    ScheduleAfter(milliseconds{500}, [this, index, incarnation, id = order.id] {
+      DeliverReport(index, incarnation,
+                    {.id = id, .outcome = order_outcome::kUnanswered});
     });
     return;
   }
-  if (target.unheard_by.contains(host.name)) {
+  if (target.answers_lost_to.contains(host.name)) {
     connection = 0;
-    Later(kOrderLatency, [this, order] { ApplyOrder(order, now_); });
-    Later(milliseconds{500}, [this, index, incarnation, id = order.id] {
-      Report(index, incarnation, {.id = id, .end = order_end::kUnanswered});
+    ScheduleAfter(kOrderLatency, [this, order] { ApplyOrder(order, now_); });
+    ScheduleAfter(milliseconds{500}, [this, index, incarnation, id = order.id] {
+      DeliverReport(index, incarnation,
+                    {.id = id, .outcome = order_outcome::kUnanswered});
     });
     return;
   }
-  if (target.rejects || target.entry.life.id != order.target.id) {
-    Later(kOrderLatency, [this, index, incarnation, id = order.id] {
-      Report(index, incarnation, {.id = id, .end = order_end::kRejected});
+  if (target.rejects_orders || target.entry.life.id != order.target.id) {
+    ScheduleAfter(kOrderLatency, [this, index, incarnation, id = order.id] {
+      DeliverReport(index, incarnation,
+                    {.id = id, .outcome = order_outcome::kRejected});
     });
     return;
   }
-  Later(kOrderLatency,
-        [this, index, incarnation, order, used_connection = connection] {
-          order_report report = ApplyOrder(order, now_);
-          report.connection = used_connection;
-          Report(index, incarnation, report);
-        });
+  ScheduleAfter(kOrderLatency, [this, index, incarnation, order,
+                                used_connection = connection] {
+    order_report report = ApplyOrder(order, now_);
+    report.connection_number = used_connection;
+    DeliverReport(index, incarnation, report);
+  });
 }
 
-void assigner_world::CheckHolds() {
-  for (size_t i = 0; i < kWatchedKeys; ++i) {
+void assigner_world::CheckOwnership() {
+  for (size_t i = 0; i < kWatchedKeyCount; ++i) {
     const world_target* owner = nullptr;
     for (const world_target& target : targets_) {
-      const bool holds_key =
-          target.alive && target.holds[i] && target.holds[i]->until > now_;
+      const bool holds_key = target.alive && target.held_grants[i] &&
+                             target.held_grants[i]->expires_at > now_;
       if (holds_key && owner != nullptr) {
-        Fail("key " + std::to_string(WatchedKey(i)) + " is held by " +
-             owner->entry.life.id + " and " + target.entry.life.id);
+        RecordProblem("key " + std::to_string(WatchedKey(i)) + " is held by " +
+                      owner->entry.life.id + " and " + target.entry.life.id);
       }
       if (holds_key) {
         owner = &target;
@@ -470,7 +488,7 @@
   }
 }
 
-void assigner_world::Note(std::string what) {
+void assigner_world::RecordEvent(std::string what) {
   constexpr size_t kMaxHistoryLines = 60;
   if (!problem_.empty()) {
     return;
@@ -492,7 +510,7 @@
   return history;
 }
 
-void assigner_world::Fail(const std::string& problem) {
+void assigner_world::RecordProblem(const std::string& problem) {
   if (problem_.empty()) {
     const auto elapsed = std::chrono::duration_cast<milliseconds>(
         now_.time_since_epoch() - seconds{1000});
@@ -509,27 +527,27 @@
   return std::nullopt;
 }
 
-size_t assigner_world::UnownedKeys() const {
+size_t assigner_world::UnownedKeyCount() const {
   size_t unowned = 0;
-  for (size_t i = 0; i < kWatchedKeys; ++i) {
-    const bool owned = std::any_of(targets_.begin(), targets_.end(),
-                                   [&](const world_target& target) {
-                                     return target.alive && target.holds[i] &&
-                                            target.holds[i]->until > now_;
-                                   });
+  for (size_t i = 0; i < kWatchedKeyCount; ++i) {
+    const bool owned = std::any_of(
+        targets_.begin(), targets_.end(), [&](const world_target& target) {
+          return target.alive && target.held_grants[i] &&
+                 target.held_grants[i]->expires_at > now_;
+        });
     unowned += owned ? 0 : 1;
   }
   return unowned;
 }
 
-size_t assigner_world::KeysOf(size_t index) const {
+size_t assigner_world::HeldKeyCount(size_t index) const {
   const world_target& target = targets_[index];
   return static_cast<size_t>(std::count_if(
-      target.holds.begin(), target.holds.end(),
-      [&](const auto& hold) { return hold && hold->until > now_; }));
+      target.held_grants.begin(), target.held_grants.end(),
+      [&](const auto& hold) { return hold && hold->expires_at > now_; }));
 }
 
-std::optional<key_map> assigner_world::Recorded() const {
+std::optional<key_map> assigner_world::RecordedMap() const {
   const auto found = objects_.find(key_assigner::MapName(kService));
   if (found == objects_.end()) {
     return std::nullopt;
--- a/tests/support/assigner_world.h
+++ b/tests/support/assigner_world.h
@@ -21,33 +21,35 @@
 namespace foxtailspread::testing {
 
 /// Number of keys whose ownership is checked, spaced evenly over the key space.
-inline constexpr size_t kWatchedKeys = 128;
+inline constexpr size_t kWatchedKeyCount = 128;
 
 /// The key point of watched key `index`.
 constexpr key_point WatchedKey(size_t index) {
   return static_cast<key_point>(index *
-                                ((size_t{kLastKey} + 1) / kWatchedKeys));
+                                ((size_t{kLastKey} + 1) / kWatchedKeyCount));
 }
 
 /// A simulated target, which accepts grants with fence numbers.
 struct world_target {
   /// A grant that the target accepted for one watched key.
-  struct hold {
+  struct held_grant {
     fence_number fence = 0;
-    time_point until{};
+    time_point expires_at{};
   };
 
   target_entry entry;
   bool alive = true;
   bool reaches_store = true;
-  bool rejects = false;  ///< Another process at its address rejects orders.
+  bool rejects_orders =
+      false;  ///< Another process at its address rejects orders.
   /// Names of hosts that cannot connect to it.
   std::set<std::string> unreachable_from{};
   /// Names of hosts whose orders arrive but which do not receive the answers.
-  std::set<std::string> unheard_by{};
+  std::set<std::string> answers_lost_to{};
   /// The highest fence that the target has seen, by watched key.
-  std::array<fence_number, kWatchedKeys> seen{};
-  std::array<std::optional<hold>, kWatchedKeys> holds{};  ///< By watched key.
+  std::array<fence_number, kWatchedKeyCount> highest_seen_fences{};
+  std::array<std::optional<held_grant>, kWatchedKeyCount>
+      held_grants{};  ///< By watched key.
   /// When its reports to the store stopped; empty while they arrive.
   std::optional<time_point> silent_since{};
 };
@@ -59,18 +61,20 @@
   std::unique_ptr<key_assigner> assigner;
   bool alive = true;
   bool reaches_store = true;
-  bool lists_targets = true;  ///< Whether it gets updates of the target list.
+  bool gets_target_list =
+      true;  ///< Whether it gets updates of the target list.
   std::set<std::string> unreachable_hosts{};  ///< Names, in both directions.
   time_point frozen_until{};
-  time_point report_at{};      ///< When its next load report is due.
-  uint64_t seen_revision = 0;  ///< The store revision that it last read.
+  time_point next_report_at{};  ///< When its next load report is due.
+  uint64_t seen_revision = 0;   ///< The store revision that it last read.
   /// Changes whenever the process stops or starts, so that answers to an
   /// earlier process are dropped.
-  uint64_t life = 0;
-  uint64_t connections = 0;  ///< Number of the newest connection to a target.
+  uint64_t incarnation = 0;
+  uint64_t last_connection =
+      0;  ///< Number of the newest connection to a target.
   /// Numbers of the open connections by target process, "ID@STARTED"; 0 if
   /// closed.
-  std::map<std::string, uint64_t> connection_of{};
+  std::map<std::string, uint64_t> connection_by_target{};
 };
 
 /// Runs the hosts, the store and the targets in steps of 10 ms of virtual time
@@ -102,7 +106,7 @@
     duration cold_time{};
   };
 
-  explicit assigner_world(options chosen);
+  explicit assigner_world(options settings);
 
   /// Advances the virtual time by `time`.
   void Run(duration time);
@@ -126,18 +130,18 @@
   bool store_down = false;
   /// The zone that is partitioned from the other zones and the store; "" if
   /// none.
-  std::string cut_zone{};
+  std::string isolated_zone{};
   /// Evacuated zones. Hosts learn of a change while they reach the store and
   /// get target list updates.
   std::set<std::string> evacuated_zones{};
   /// Probability that the answer to a store write is lost.
-  double lost_writes = 0.0;
+  double lost_write_answer_probability = 0.0;
   /// Probability that a store write takes effect 1 to 5 s later, without an
   /// answer.
-  double late_writes = 0.0;
+  double late_write_probability = 0.0;
   /// Probability that a target executes an order 2 to 9 s later, without an
   /// answer.
-  double late_orders = 0.0;
+  double late_order_probability = 0.0;
 
   /// The log notes of all hosts' assigners.
   const std::vector<assigner_note>& notes() const { return notes_; }
@@ -148,73 +152,76 @@
   /// The last events before the first problem, one a line, to debug a seed.
   std::string History() const;
   /// Number of watched keys that no live target holds.
-  size_t UnownedKeys() const;
+  size_t UnownedKeyCount() const;
   /// Number of watched keys that target `index` holds.
-  size_t KeysOf(size_t index) const;
+  size_t HeldKeyCount(size_t index) const;
   /// The key map of the keyed service in the store, if there is a valid one.
-  std::optional<key_map> Recorded() const;
+  std::optional<key_map> RecordedMap() const;
 
  private:
   /// An object of the store.
-  struct stored {
+  struct stored_object {
     uint64_t revision = 0;
     std::string content;
   };
   /// A callback that runs at a later virtual time.
-  struct delivery {
-    time_point at;
-    std::function<void()> run;
+  struct scheduled_callback {
+    time_point due_at;
+    std::function<void()> callback;
   };
 
-  void Later(duration delay, std::function<void()> run);
+  void ScheduleAfter(duration delay, std::function<void()> callback);
   void Step();
   void StepHost(size_t index);
-  void Carry(size_t index, const assigner_actions& actions);
-  void CarryDatagram(size_t index, const assigner_action& action);
+  void ExecuteActions(size_t index, const assigner_actions& actions);
+  void SendDatagram(size_t index, const assigner_action& action);
   /// The host that receives datagrams from `sender` at `address`; nullptr if no
   /// live host there is reachable.
-  world_host* Reach(const world_host& from, const std::string& address);
+  world_host* FindReachableHost(const world_host& sender,
+                                const std::string& address);
   /// Whether a partition separates the two zones.
-  bool IsCut(const std::string& from, const std::string& to) const {
-    return (from == cut_zone) != (to == cut_zone);
+  bool IsPartitioned(const std::string& first_zone,
+                     const std::string& second_zone) const {
+    return (first_zone == isolated_zone) != (second_zone == isolated_zone);
   }
   bool ReachesStore(const world_host& host) const {
-    return host.reaches_store && !store_down && host.zone != cut_zone;
+    return host.reaches_store && !store_down && host.zone != isolated_zone;
   }
   /// The live target at `address`, or the first one that had it if none is
   /// live.
   world_target& TargetAt(const std::string& address);
   /// Calls `deliver` with the assigner of each host that a datagram sent over
   /// `hops` reaches.
-  void Send(const world_host& from, const std::vector<fanout_hop>& hops,
-            const std::function<void(key_assigner&)>& deliver);
-  void CarryWrite(size_t index, const store_write& write);
-  void CarryOrder(size_t index, const key_order& order);
-  write_report Apply(const store_write& write);
+  void SendFanout(const world_host& sender, const std::vector<fanout_hop>& hops,
+                  const std::function<void(key_assigner&)>& deliver);
+  void SendWrite(size_t index, const store_write& write);
+  void SendOrder(size_t index, const key_order& order);
+  write_report ApplyWrite(const store_write& write);
   /// Executes `order` at its target. A grant is valid from `arrived`, which is
   /// earlier than now if the target executes it late.
   order_report ApplyOrder(const key_order& order, time_point arrived);
   /// Passes `report` to the assigner of `host` unless its process has changed.
-  void Report(size_t host, uint64_t life, const order_report& report);
-  void CheckHolds();
-  void Fail(const std::string& problem);
-  void Note(std::string what);
+  void DeliverReport(size_t host, uint64_t incarnation,
+                     const order_report& report);
+  void CheckOwnership();
+  void RecordProblem(const std::string& problem);
+  void RecordEvent(std::string event);
   /// Updates the targets' entries by one step and returns those that the store
   /// still lists.
-  std::vector<target_entry> Listed();
-  bool Chance(double part);
+  std::vector<target_entry> ListedTargets();
+  bool DrawBernoulli(double probability);
 
   options options_;
   std::mt19937_64 random_;
   time_point now_{std::chrono::seconds{1000}};
   std::vector<world_host> hosts_;
   std::vector<world_target> targets_;
-  std::map<std::string, stored> objects_;
+  std::map<std::string, stored_object> objects_;
   uint64_t revision_ = 1;
-  std::deque<delivery> deliveries_;
+  std::deque<scheduled_callback> scheduled_callbacks_;
   /// The highest fence granted for each watched key, and its owner.
-  std::array<fence_number, kWatchedKeys> highest_{};
-  std::array<target_life, kWatchedKeys> highest_of_{};
+  std::array<fence_number, kWatchedKeyCount> highest_fences_{};
+  std::array<target_life, kWatchedKeyCount> highest_fence_owners_{};
   std::vector<assigner_note> notes_;
   std::string problem_;
   std::deque<std::string> history_;
--- a/tests/support/router_world.cc
+++ b/tests/support/router_world.cc
@@ -26,23 +26,24 @@
 
 }  // namespace
 
-double caller_tally::InTimeShare() const {
-  return asked == 0 ? 0.0
-                    : static_cast<double>(in_time) / static_cast<double>(asked);
+double caller_results::InTimeFraction() const {
+  return requests == 0 ? 0.0
+                       : static_cast<double>(answered_in_time) /
+                             static_cast<double>(requests);
 }
 
-duration caller_tally::MeanRefusedWait() const {
+duration caller_results::MeanTimeToRefusal() const {
   return refused == 0 ? duration{0}
-                      : refused_wait / static_cast<int64_t>(refused);
+                      : total_time_to_refusal / static_cast<int64_t>(refused);
 }
 
 router_world::router_world(router_world_options options)
     : options_(std::move(options)), random_(options_.seed) {
-  Prepare();
-  if (options_.noise > 0.0) {
-    ChangeNoise();
+  SetUp();
+  if (options_.slowed_fraction > 0.0) {
+    ChangeSlowedTargets();
   }
-  if (options_.tells_load) {
+  if (options_.reports_load) {
     ShareLoads();
   }
 }
@@ -51,44 +52,45 @@
   for (const auto& router : routers_) {
     loads_.Add(router->TakeLoads(kService, now_), now_);
   }
-  At(now_ + kLoadShareDelay, [this, loads = loads_.TakeFresh(now_)]() mutable {
-    constexpr uint32_t kDelayMs =
-        kLoadShareDelay / std::chrono::milliseconds{1};
-    for (load_sample& sample : loads) {
-      sample.age_ms += kDelayMs;
-    }
-    for (const auto& router : routers_) {
-      router->OnLoads(loads, now_);
-    }
-  });
-  At(now_ + kShareLoadsPeriod, [this] { ShareLoads(); });
+  Schedule(now_ + kLoadShareDelay,
+           [this, loads = loads_.TakeFresh(now_)]() mutable {
+             constexpr uint32_t kDelayMs =
+                 kLoadShareDelay / std::chrono::milliseconds{1};
+             for (load_sample& sample : loads) {
+               sample.age_ms += kDelayMs;
+             }
+             for (const auto& router : routers_) {
+               router->OnLoads(loads, now_);
+             }
+           });
+  Schedule(now_ + kShareLoadsPeriod, [this] { ShareLoads(); });
 }
 
-void router_world::ChangeNoise() {
-  std::bernoulli_distribution is_noisy(options_.noise);
+void router_world::ChangeSlowedTargets() {
+  std::bernoulli_distribution is_noisy(options_.slowed_fraction);
   for (target_model& target : targets_) {
-    target.noise = is_noisy(random_) ? kNoiseSlowdown : 1.0;
+    target.slowdown = is_noisy(random_) ? kNoiseSlowdown : 1.0;
   }
-  At(now_ + kNoisePeriod, [this] { ChangeNoise(); });
+  Schedule(now_ + kNoisePeriod, [this] { ChangeSlowedTargets(); });
 }
 
-void router_world::Prepare() {
+void router_world::SetUp() {
   std::vector<target_entry> entries;
   std::vector<balance_target> owners;
   for (size_t i = 0; i < options_.targets; ++i) {
     target_model target;
-    target.speed = options_.speeds[i % options_.speeds.size()];
+    target.speed = options_.target_speeds[i % options_.target_speeds.size()];
     target.entry.life = {.id = "t" + std::to_string(i), .started = 1};
     target.entry.service = kService;
     target.entry.address = "10.0.0.1:" + std::to_string(1000 + i);
     target.entry.zone = "zone";
-    target.entry.slots = options_.slots;
-    target_of_[target.entry.life.id] = i;
+    target.entry.slots = options_.slots_per_target;
+    target_index_by_id_[target.entry.life.id] = i;
     entries.push_back(target.entry);
     owners.push_back({.life = target.entry.life, .capacity = target.speed});
     targets_.push_back(std::move(target));
   }
-  key_map map = DealKeys(owners, 1);
+  key_map map = MakeInitialKeyMap(owners, 1);
   for (key_range& range : map.ranges) {
     range.granted = true;
   }
@@ -101,9 +103,9 @@
   lookup_route.name = "lookup";
   lookup_route.host = "shop.example";
   lookup_route.prefix = "/";
-  lookup_route.repeat = repeat_rule::kIdempotent;
+  lookup_route.retry = retry_rule::kIdempotent;
   lookup_route.objective = options_.objective;
-  lookup_route.timeout = options_.patience;
+  lookup_route.timeout = options_.caller_timeout;
   lookup_route.max_attempts = 2;
   lookup_route.services = {{.service = kService}};
   config.routes.push_back(lookup_route);
@@ -111,7 +113,7 @@
   for (size_t i = 0; i < options_.hosts; ++i) {
     routers_.push_back(std::make_unique<request_router>(router_settings{
         .zone = "zone", .retries = {}, .seed = options_.seed * 100 + i}));
-    wake_at_.push_back(time_point::max());
+    timer_due_.push_back(time_point::max());
     router_actions ignored_actions;
     routers_[i]->OnHostCount(options_.hosts);
     routers_[i]->OnConfig(table, now_, ignored_actions);
@@ -125,33 +127,34 @@
 double router_world::Capacity() const {
   double effective_slots = 0.0;
   for (const target_model& target : targets_) {
-    effective_slots += target.speed * options_.slots;
+    effective_slots += target.speed * options_.slots_per_target;
   }
   const double mean_speed_under_noise =
-      1.0 - options_.noise + options_.noise / kNoiseSlowdown;
+      1.0 - options_.slowed_fraction +
+      options_.slowed_fraction / kNoiseSlowdown;
   return effective_slots * mean_speed_under_noise /
          std::chrono::duration<double>(options_.mean_work).count();
 }
 
-void router_world::At(time_point time, std::function<void()> callback) {
-  events_.push({time, ++last_order_, std::move(callback)});
+void router_world::Schedule(time_point time, std::function<void()> callback) {
+  events_.push({time, ++last_sequence_, std::move(callback)});
 }
 
-caller_tally router_world::Run(double rate_per_second, duration length) {
-  tally_ = {};
+caller_results router_world::Run(double rate_per_second, duration length) {
+  results_ = {};
   const time_point end = now_ + length;
-  Ask(rate_per_second, end);
-  while (!events_.empty() && events_.top().at <= end) {
+  ScheduleNextRequest(rate_per_second, end);
+  while (!events_.empty() && events_.top().time <= end) {
     event next = events_.top();
     events_.pop();
-    now_ = next.at;
-    next.run();
+    now_ = next.time;
+    next.callback();
   }
   now_ = end;
-  return tally_;
+  return results_;
 }
 
-void router_world::Ask(double rate_per_second, time_point end) {
+void router_world::ScheduleNextRequest(double rate_per_second, time_point end) {
   std::exponential_distribution<double> seconds_to_next(rate_per_second);
   const time_point arrival =
       now_ + std::chrono::duration_cast<duration>(
@@ -159,131 +162,136 @@
   if (arrival >= end) {
     return;
   }
-  At(arrival, [this, rate_per_second, end] {
-    const request_id id = ++last_request_;
+  Schedule(arrival, [this, rate_per_second, end] {
+    const request_id id = ++last_request_id_;
     const size_t host = random_() % routers_.size();
-    callers_[id].arrived = now_;
-    ++tally_.asked;
+    callers_[id].arrival_time = now_;
+    ++results_.requests;
     router_actions actions;
     routers_[host]->OnRequest({.id = id,
                                .host = "shop.example",
                                .path = "/1",
                                .key = static_cast<key_point>(random_()),
-                               .patience = options_.patience,
-                               .content = id},
+                               .caller_timeout = options_.caller_timeout,
+                               .content_hash = id},
                               now_, actions);
-    Carry(host, actions);
-    Ask(rate_per_second, end);
+    Execute(host, actions);
+    ScheduleNextRequest(rate_per_second, end);
   });
 }
 
-void router_world::Carry(size_t host, const router_actions& actions) {
+void router_world::Execute(size_t host, const router_actions& actions) {
   for (const router_action& action : actions) {
     if (const auto* send = std::get_if<send_action>(&action)) {
       Send(host, *send);
-    } else if (const auto* reply = std::get_if<own_answer_action>(&action)) {
+    } else if (const auto* reply = std::get_if<local_reply_action>(&action)) {
       const caller& answered_caller = callers_[reply->id];
-      const bool refused = reply->answer == own_answer::kNotRun;
-      tally_.refused += refused ? 1 : 0;
-      tally_.failed += refused ? 0 : 1;
-      tally_.refused_wait +=
-          refused ? now_ - answered_caller.arrived : duration{0};
+      const bool refused = reply->reply == local_reply::kNotRun;
+      results_.refused += refused ? 1 : 0;
+      results_.failed += refused ? 0 : 1;
+      results_.total_time_to_refusal +=
+          refused ? now_ - answered_caller.arrival_time : duration{0};
       callers_.erase(reply->id);
     } else if (const auto* delivered = std::get_if<deliver_action>(&action)) {
-      const duration latency = now_ - callers_[delivered->id].arrived;
-      tally_.in_time += latency <= options_.objective ? 1 : 0;
-      tally_.late += latency > options_.objective ? 1 : 0;
+      const duration latency = now_ - callers_[delivered->id].arrival_time;
+      results_.answered_in_time += latency <= options_.objective ? 1 : 0;
+      results_.answered_late += latency > options_.objective ? 1 : 0;
       callers_.erase(delivered->id);
     } else if (const auto* cancelled = std::get_if<cancel_action>(&action)) {
-      callers_[cancelled->id].attempt = 0;
+      callers_[cancelled->id].current_attempt_id = 0;
     }
   }
-  Wake(host);
+  ScheduleTimer(host);
 }
 
-void router_world::Wake(size_t host) {
+void router_world::ScheduleTimer(size_t host) {
   const time_point due = routers_[host]->NextDue();
-  if (due >= wake_at_[host]) {
+  if (due >= timer_due_[host]) {
     return;
   }
-  wake_at_[host] = due;
-  At(std::max(due, now_), [this, host, due] {
-    if (wake_at_[host] != due) {
+  timer_due_[host] = due;
+  Schedule(std::max(due, now_), [this, host, due] {
+    if (timer_due_[host] != due) {
       return;
     }
-    wake_at_[host] = time_point::max();
+    timer_due_[host] = time_point::max();
     router_actions actions;
     routers_[host]->OnTime(now_, actions);
-    Carry(host, actions);
+    Execute(host, actions);
   });
 }
 
 void router_world::Send(size_t host, const send_action& action) {
-  const work sent{.host = host, .id = action.id, .attempt = ++last_attempt_};
-  callers_[action.id].attempt = sent.attempt;
-  const size_t target = target_of_.at(action.target.id);
-  At(now_ + kLinkDelay, [this, target, sent] { Arrive(target, sent); });
+  const sent_attempt sent{
+      .host = host, .id = action.id, .attempt_id = ++last_attempt_id_};
+  callers_[action.id].current_attempt_id = sent.attempt_id;
+  const size_t target = target_index_by_id_.at(action.target.id);
+  Schedule(now_ + kLinkDelay,
+           [this, target, sent] { OnAttemptArrival(target, sent); });
 }
 
-bool router_world::IsWanted(const work& attempt) const {
+bool router_world::IsCurrent(const sent_attempt& attempt) const {
   const auto found = callers_.find(attempt.id);
-  return found != callers_.end() && found->second.attempt == attempt.attempt;
+  return found != callers_.end() &&
+         found->second.current_attempt_id == attempt.attempt_id;
 }
 
-void router_world::Arrive(size_t target, work attempt) {
+void router_world::OnAttemptArrival(size_t target, sent_attempt attempt) {
   target_model& model = targets_[target];
-  if (model.busy < options_.slots) {
-    Begin(target, attempt);
-  } else if (model.waiting.size() < options_.queue) {
-    model.waiting.push_back(attempt);
+  if (model.busy_slots < options_.slots_per_target) {
+    StartWork(target, attempt);
+  } else if (model.queue.size() < options_.max_queued_per_target) {
+    model.queue.push_back(attempt);
   } else {
-    Report(attempt, attempt_verdict::kShed);
+    ReportAttempt(attempt, attempt_verdict::kShed);
   }
 }
 
-duration router_world::Work(const target_model& target) {
+duration router_world::RandomWorkTime(const target_model& target) {
   std::lognormal_distribution<double> random_factor(
-      -options_.spread * options_.spread / 2, options_.spread);
+      -options_.work_sigma * options_.work_sigma / 2, options_.work_sigma);
   return std::chrono::duration_cast<duration>(
       options_.mean_work *
-      (random_factor(random_) * slowness_ * target.noise / target.speed));
+      (random_factor(random_) * slowness_ * target.slowdown / target.speed));
 }
 
-void router_world::Begin(size_t target, work attempt) {
+void router_world::StartWork(size_t target, sent_attempt attempt) {
   target_model& model = targets_[target];
-  ++model.busy;
-  At(now_ + Work(model), [this, target, attempt] { End(target, attempt); });
+  ++model.busy_slots;
+  Schedule(now_ + RandomWorkTime(model),
+           [this, target, attempt] { FinishWork(target, attempt); });
 }
 
-void router_world::End(size_t target, const work& attempt) {
+void router_world::FinishWork(size_t target, const sent_attempt& attempt) {
   target_model& model = targets_[target];
-  --model.busy;
-  std::optional<told_load> load;
-  if (options_.tells_load) {
-    load = told_load{.running = model.busy,
-                     .waiting = static_cast<int>(model.waiting.size()),
-                     .slowness = model.noise};
+  --model.busy_slots;
+  std::optional<reported_load> load;
+  if (options_.reports_load) {
+    load = reported_load{.running = model.busy_slots,
+                         .waiting = static_cast<int>(model.queue.size()),
+                         .slowness = model.slowdown};
   }
-  Report(attempt, attempt_verdict::kServed, load);
-  while (!model.waiting.empty() && model.busy < options_.slots) {
-    const work next = model.waiting.front();
-    model.waiting.pop_front();
-    if (IsWanted(next)) {
-      Begin(target, next);
+  ReportAttempt(attempt, attempt_verdict::kServed, load);
+  while (!model.queue.empty() && model.busy_slots < options_.slots_per_target) {
+    const sent_attempt next = model.queue.front();
+    model.queue.pop_front();
+    if (IsCurrent(next)) {
+      StartWork(target, next);
     }
   }
 }
 
-void router_world::Report(const work& attempt, attempt_verdict verdict,
-                          std::optional<told_load> load) {
-  At(now_ + kLinkDelay, [this, attempt, verdict, load] {
-    if (!IsWanted(attempt)) {
+void router_world::ReportAttempt(const sent_attempt& attempt,
+                                 attempt_verdict verdict,
+                                 std::optional<reported_load> load) {
+  Schedule(now_ + kLinkDelay, [this, attempt, verdict, load] {
+    if (!IsCurrent(attempt)) {
       return;
     }
     router_actions actions;
     routers_[attempt.host]->OnAttemptEnded(
         {.id = attempt.id, .verdict = verdict, .load = load}, now_, actions);
-    Carry(attempt.host, actions);
+    Execute(attempt.host, actions);
   });
 }
 
--- a/tests/support/router_world.h
+++ b/tests/support/router_world.h
@@ -22,40 +22,43 @@
 namespace foxtailspread::testing {
 
 /// Number of requests by their result, as callers see it.
-struct caller_tally {
-  size_t asked = 0;
-  size_t in_time = 0;  ///< Answered within the objective.
-  size_t late = 0;
+struct caller_results {
+  size_t requests = 0;
+  size_t answered_in_time = 0;  ///< Answered within the objective.
+  size_t answered_late = 0;
   size_t refused = 0;
-  size_t failed = 0;        ///< Not answered before the caller's timeout.
-  duration refused_wait{};  ///< Sum of the times from arrival to refusal.
+  size_t failed = 0;  ///< Not answered before the caller's timeout.
+  duration
+      total_time_to_refusal{};  ///< Sum of the times from arrival to refusal.
 
   /// Fraction of the requests that were answered within the objective.
-  double InTimeShare() const;
+  double InTimeFraction() const;
   /// Mean time from arrival to refusal.
-  duration MeanRefusedWait() const;
+  duration MeanTimeToRefusal() const;
 };
 
 /// The hosts, the service and its callers. Callers don't retry.
 struct router_world_options {
   size_t hosts = 9;
   size_t targets = 12;
-  int slots = 6;      ///< Requests that a target works on at a time.
-  size_t queue = 24;  ///< Requests that wait at a target; it sheds more.
+  int slots_per_target = 6;  ///< Requests that a target works on at a time.
+  size_t max_queued_per_target =
+      24;  ///< Requests that wait at a target; it sheds more.
   /// Relative speeds, assigned to the targets in turn. At speed 1 a request
   /// takes `mean_work` on average.
-  std::vector<double> speeds{0.6, 1.0, 1.4};
+  std::vector<double> target_speeds{0.6, 1.0, 1.4};
   bool keyed = true;
   duration mean_work{std::chrono::milliseconds{71}};
-  double spread = 0.8;  ///< Standard deviation of the logarithm of the work.
+  double work_sigma =
+      0.8;  ///< Standard deviation of the logarithm of the work.
   duration objective{std::chrono::milliseconds{250}};
-  duration patience{std::chrono::milliseconds{1500}};
+  duration caller_timeout{std::chrono::milliseconds{1500}};
   uint64_t seed = 1;
   /// Targets report their load, and hosts share these reports.
-  bool tells_load = false;
+  bool reports_load = false;
   /// Fraction of the time in which another tenant of its machine slows a target
   /// down threefold.
-  double noise = 0.0;
+  double slowed_fraction = 0.0;
 };
 
 /// Simulates hosts, targets and callers.
@@ -74,67 +77,70 @@
 
   /// Simulates requests at `rate_per_second` for `length`, spread evenly over
   /// the hosts and the keys; a target's share of the keys follows its capacity.
-  caller_tally Run(double rate, duration time);
+  caller_results Run(double rate_per_second, duration length);
 
   /// Multiplies the work time at every target by `factor` from now on.
   void SlowDown(double factor) { slowness_ = factor; }
 
  private:
-  struct work {
+  struct sent_attempt {
     size_t host = 0;
     request_id id = 0;
-    uint64_t attempt = 0;
+    uint64_t attempt_id = 0;
   };
   struct target_model {
     target_entry entry;
     double speed = 1.0;
-    double noise = 1.0;  ///< Current factor of the work time; 1 is normal.
-    int busy = 0;
-    std::deque<work> waiting;
+    double slowdown = 1.0;  ///< Current factor of the work time; 1 is normal.
+    int busy_slots = 0;
+    std::deque<sent_attempt> queue;
   };
   struct caller {
-    time_point arrived{};
-    uint64_t attempt = 0;  ///< Attempt under way; 0 if there is none.
+    time_point arrival_time{};
+    uint64_t current_attempt_id =
+        0;  ///< Attempt under way; 0 if there is none.
   };
   struct event {
-    time_point at;
-    uint64_t order;
-    std::function<void()> run;
+    time_point time;
+    uint64_t sequence;
+    std::function<void()> callback;
     bool operator>(const event& other) const {
-      return at > other.at || (at == other.at && order > other.order);
+      return time > other.time ||
+             (time == other.time && sequence > other.sequence);
     }
   };
 
-  void Prepare();
+  void SetUp();
   void ShareLoads();
-  void ChangeNoise();
-  void At(time_point at, std::function<void()> run);
-  void Ask(double rate, time_point end);
-  void Carry(size_t host, const router_actions& actions);
+  void ChangeSlowedTargets();
+  void Schedule(time_point time, std::function<void()> callback);
+  void ScheduleNextRequest(double rate_per_second, time_point end);
+  void Execute(size_t host, const router_actions& actions);
   void Send(size_t host, const send_action& action);
-  void Arrive(size_t target, work arrived);
-  void Begin(size_t target, work begun);
-  void End(size_t target, const work& ended);
-  void Report(const work& of, attempt_verdict verdict,
-              std::optional<told_load> load = std::nullopt);
-  void Wake(size_t host);
-  bool IsWanted(const work& of) const;
-  duration Work(const target_model& at);
+  void OnAttemptArrival(size_t target, sent_attempt attempt);
+  void StartWork(size_t target, sent_attempt attempt);
+  void FinishWork(size_t target, const sent_attempt& attempt);
+  void ReportAttempt(const sent_attempt& attempt, attempt_verdict verdict,
+                     std::optional<reported_load> load = std::nullopt);
+  void ScheduleTimer(size_t host);
+  bool IsCurrent(const sent_attempt& attempt) const;
+  duration RandomWorkTime(const target_model& target);
 
   router_world_options options_;
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<request_router>> routers_;
-  std::vector<time_point> wake_at_;
+  std::vector<time_point> timer_due_;
   std::vector<target_model> targets_;
-  load_board loads_;
-  std::map<std::string, size_t> target_of_;  ///< Index in `targets_` by id.
+  load_aggregator loads_;
+  std::map<std::string, size_t>
+      target_index_by_id_;  ///< Index in `targets_` by id.
   std::map<request_id, caller> callers_;
   std::priority_queue<event, std::vector<event>, std::greater<>> events_;
-  caller_tally tally_;
+  caller_results results_;
   time_point now_{std::chrono::seconds{1000}};
-  uint64_t last_order_ = 0;
-  uint64_t last_attempt_ = 0;
-  request_id last_request_ = 0;
+  uint64_t last_sequence_ = 0;
+  uint64_t last_attempt_id_ = 0;
+  request_id last_request_id_ = 0;
   double slowness_ = 1.0;
 };
 
--- a/tests/support/virtual_deployment.cc
+++ b/tests/support/virtual_deployment.cc
@@ -284,7 +284,7 @@
       });
     }
     const uint64_t start = hosts_.at(name).starts;
-    const attempt_ended ended{a->attempt_id, attempt_end::kCancelled, 0, "",
+    const attempt_ended ended{a->attempt_id, attempt_outcome::kCancelled, 0, "",
                               ""};
     Push(0, [this, name, start, ended] { Deliver(name, start, ended); });
   } else if (const auto* a = std::get_if<forward_action>(&action)) {
@@ -430,7 +430,7 @@
                           answer.outcome,
                           answer.retry_after_us,
                           answer.next_action};
-      if (answer.status == kMisdirected) {
+      if (answer.status == kNotStewardHttpStatus) {
         ended.end = forward_end::kNotSteward;
       } else {
         hosts_.at(origin).forward_results[id] = answer;
@@ -515,14 +515,15 @@
   if (HostClock(host).time_since_epoch().count() >= action.not_after_us) {
     Push(0, [this, name, start, id] {
       Deliver(name, start,
-              attempt_ended{id, attempt_end::kConnectFailed, 0, "", ""});
+              attempt_ended{id, attempt_outcome::kConnectFailed, 0, "", ""});
     });
     return;
   }
   const std::string target_name = action.target;
   // Without an answer, the sender's own time-out ends the attempt.
   Push(action.time_left_us, [this, name, start, id] {
-    Deliver(name, start, attempt_ended{id, attempt_end::kTimedOut, 0, "", ""});
+    Deliver(name, start,
+            attempt_ended{id, attempt_outcome::kTimedOut, 0, "", ""});
   });
   target_request request;
   request.attempt = name + "/" + std::to_string(id);
@@ -546,7 +547,7 @@
     if (target.machine == nullptr) {
       Push(LinkDelay(), [this, name, start, id] {
         Deliver(name, start,
-                attempt_ended{id, attempt_end::kConnectFailed, 0, "", ""});
+                attempt_ended{id, attempt_outcome::kConnectFailed, 0, "", ""});
       });
       return;
     }
@@ -570,14 +571,14 @@
     const std::string host = found->second.first;
     const uint64_t id = found->second.second;
     target.tickets.erase(found);
-    attempt_ended ended{id, attempt_end::kAnswered, 200, "", ""};
+    attempt_ended ended{id, attempt_outcome::kAnswered, 200, "", ""};
     if (outcome.verdict == target_verdict::kNotOwner ||
         outcome.verdict == target_verdict::kStaleEpoch) {
-      ended.end = attempt_end::kRefusedOwner;
+      ended.end = attempt_outcome::kNotOwner;
     } else if (outcome.verdict == target_verdict::kExpiredRunning) {
-      ended.end = attempt_end::kTimedOut;
+      ended.end = attempt_outcome::kTimedOut;
     } else if (outcome.verdict != target_verdict::kDone) {
-      ended.end = attempt_end::kNotStarted;
+      ended.end = attempt_outcome::kNotStarted;
     }
     ended.body = nlohmann::json{{"target", name},
                                 {"key", outcome.key},
@@ -642,7 +643,8 @@
     const uint64_t id = entry.second.second;
     const uint64_t start = hosts_.at(host).starts;
     Push(LinkDelay(), [this, host, start, id] {
-      Deliver(host, start, attempt_ended{id, attempt_end::kBroken, 0, "", ""});
+      Deliver(host, start,
+              attempt_ended{id, attempt_outcome::kConnectionBroken, 0, "", ""});
     });
   }
   target.tickets.clear();
@@ -766,7 +768,7 @@
     }
     platform_ended ended = CallPlatform(action);
     const bool lost = action.kind == platform_call_kind::kPut &&
-                      platform_faults_.LoseWriteAnswer();
+                      platform_faults_.ConsumeLostWriteAnswer();
     Push(LinkDelay() + slow, [this, name, start, ended, failed, lost] {
       Deliver(name, start, lost ? failed : ended);
     });
--- a/tests/target_health_test.cc
+++ b/tests/target_health_test.cc
@@ -18,7 +18,7 @@
 
 class TargetHealthTest : public ::testing::Test {
  protected:
-  void SetHostCount(size_t host_count) { health_.SetShare(0, host_count); }
+  void SetHostCount(size_t host_count) { health_.SetLimits(0, host_count); }
 
   /// Sends one request that ends after `latency`.
   void Send(attempt_verdict verdict, duration latency) {
@@ -33,7 +33,7 @@
   int CountSentWhileShedding(int period_seconds) {
     int sent_count = 0;
     for (int i = 0; i < period_seconds * 10; ++i) {
-      if (health_.HasRoom(now_)) {
+      if (health_.HasCapacity(now_)) {
         ++sent_count;
         Send(attempt_verdict::kShed, milliseconds{2});
       }
@@ -71,9 +71,9 @@
   SetHostCount(195);
   CountSentWhileShedding(5);
   now_ = std::max(now_, health_.PausedUntil());
-  ASSERT_TRUE(health_.HasRoom(now_));
+  ASSERT_TRUE(health_.HasCapacity(now_));
   Send(attempt_verdict::kServed, kRunTime);
-  EXPECT_TRUE(health_.HasRoom(now_));
+  EXPECT_TRUE(health_.HasCapacity(now_));
 }
 
 // Guards against pauses after a few sheds by chance: requests for the target's
@@ -82,9 +82,9 @@
   SetHostCount(195);
   for (int i = 0; i < 10; ++i) {
     Send(attempt_verdict::kShed, milliseconds{2});
-    EXPECT_TRUE(health_.HasRoom(now_));
+    EXPECT_TRUE(health_.HasCapacity(now_));
     Send(attempt_verdict::kShed, milliseconds{2});
-    EXPECT_TRUE(health_.HasRoom(now_));
+    EXPECT_TRUE(health_.HasCapacity(now_));
     Send(attempt_verdict::kServed, kRunTime);
   }
 }
--- a/tests/targets_sharing_test.cc
+++ b/tests/targets_sharing_test.cc
@@ -43,8 +43,9 @@
       const auto parsed = ParseHostMessage(FormatHostMessage(record));
       auto& received = std::get<targets_record>(parsed.value());
       EXPECT_EQ(received, record);
-      digest_pairs_.push_back({received.before, OtherDigest()});
-      changed = other_copy_.OnShared(ChangesOf(received), as_of) || changed;
+      digest_pairs_.push_back({received.base_digest, OtherDigest()});
+      changed =
+          other_copy_.OnPeerChanges(ToStoreChanges(received), as_of) || changed;
     }
     return changed;
   }
@@ -55,7 +56,7 @@
 
   targets_sharing sharing_;
   targets_sharing::target_objects reader_objects_;
-  kind_follower<target_entry> other_copy_{follow_timing{}};
+  kind_follower<target_entry> other_copy_{follower_options{}};
   /// For each record sent: the digest of the list that it applies to, and that
   /// of the other host's list at that time.
   std::vector<std::pair<uint64_t, uint64_t>> digest_pairs_;
@@ -111,16 +112,16 @@
   reader_objects_["a"].item->draining = true;
   reader_objects_["a"].revision = 12;
   EXPECT_TRUE(ShareChanges(now_ + milliseconds{1500}));
-  EXPECT_EQ(other_copy_.same_until(), now_ + seconds{1});
+  EXPECT_EQ(other_copy_.previous_as_of(), now_ + seconds{1});
   EXPECT_EQ(other_copy_.current_as_of(), now_ + milliseconds{1500});
 }
 
 TEST_F(TargetsSharingTest, HostThatHasNotListedYetIgnoresChanges) {
-  kind_follower<target_entry> new_copy{follow_timing{}};
+  kind_follower<target_entry> new_copy{follower_options{}};
   reader_objects_["c"] = Object("c", 13);
   const auto records = sharing_.Update(reader_objects_);
   ASSERT_EQ(records.size(), 1U);
-  EXPECT_FALSE(new_copy.OnShared(ChangesOf(records.front()), now_));
+  EXPECT_FALSE(new_copy.OnPeerChanges(ToStoreChanges(records.front()), now_));
   EXPECT_TRUE(new_copy.objects().empty());
 }
 
--- a/tests/told_load_test.cc
+++ b/tests/told_load_test.cc
@@ -26,7 +26,7 @@
 }
 
 TEST(LoadAggregatorTest, NewestSampleOfATargetIsKept) {
-  load_board aggregator;
+  load_aggregator aggregator;
   aggregator.Add(std::vector{MakeSample(5, 10), MakeSample(2, 90)}, kNow);
   const auto fresh = aggregator.TakeFresh(kNow + milliseconds{20});
   ASSERT_EQ(fresh.size(), 1U);
@@ -35,7 +35,7 @@
 }
 
 TEST(LoadAggregatorTest, SamplesAreReturnedOnce) {
-  load_board aggregator;
+  load_aggregator aggregator;
   aggregator.Add(std::vector{MakeSample(5, 10)}, kNow);
   EXPECT_EQ(aggregator.TakeFresh(kNow).size(), 1U);
   EXPECT_TRUE(aggregator.TakeFresh(kNow).empty());
@@ -44,7 +44,7 @@
 }
 
 TEST(LoadAggregatorTest, LatencyIsTheMeanOverAllHosts) {
-  load_board aggregator;
+  load_aggregator aggregator;
   aggregator.Add(std::vector{MakeSample(1, 9, 100'000, 10)}, kNow);
   aggregator.Add(std::vector{MakeSample(1, 8, 300'000, 10)}, kNow);
   const auto fresh = aggregator.TakeFresh(kNow);
@@ -53,17 +53,17 @@
 }
 
 TEST(LoadSharingPeriodTest, PeriodGrowsWithTheNumberOfHosts) {
-  EXPECT_EQ(ShareLoadsEvery(9), milliseconds{100});
-  EXPECT_EQ(ShareLoadsEvery(1400), milliseconds{2100});
+  EXPECT_EQ(LoadSharingPeriod(9), milliseconds{100});
+  EXPECT_EQ(LoadSharingPeriod(1400), milliseconds{2100});
 }
 
 class ReportedLoadTest : public ::testing::Test {
  protected:
   /// Returns the expected latency of a target with six slots and a mean latency
   /// of 100 ms that reported `load` the time `age` ago.
-  duration ExpectedLatency(const told_load& load, duration age) {
+  duration ExpectedLatency(const reported_load& load, duration age) {
     target_health health(6, milliseconds{100});
-    health.OnTold(load, kNow - age, milliseconds{100});
+    health.OnLoadReport(load, kNow - age, milliseconds{100});
     return health.ExpectedLatency(kNow);
   }
 };
@@ -76,7 +76,7 @@
 }
 
 TEST_F(ReportedLoadTest, SlownessLosesWeightWithItsAge) {
-  const told_load slow_load{.slowness = 3.0};
+  const reported_load slow_load{.slowness = 3.0};
   const duration fresh_latency = ExpectedLatency(slow_load, milliseconds{0});
   const duration older_latency = ExpectedLatency(slow_load, milliseconds{200});
   EXPECT_GT(fresh_latency, milliseconds{250});
@@ -94,13 +94,14 @@
 TEST_F(ReportedLoadTest, OldestRequestInFlightRevealsAFrozenTarget) {
   target_health health(6, milliseconds{100});
   health.OnSent(kNow - milliseconds{700});
-  health.OnTold({}, kNow, milliseconds{100});
+  health.OnLoadReport({}, kNow, milliseconds{100});
   EXPECT_GE(health.ExpectedLatency(kNow), milliseconds{700});
 }
 
 TEST_F(ReportedLoadTest, OwnRequestsSinceTheReportCount) {
   target_health health(6, milliseconds{100});
-  health.OnTold({.running = 6}, kNow - milliseconds{50}, milliseconds{100});
+  health.OnLoadReport({.running = 6}, kNow - milliseconds{50},
+                      milliseconds{100});
   const duration latency_before = health.ExpectedLatency(kNow);
   health.OnSent(kNow);
   EXPECT_GT(health.ExpectedLatency(kNow), latency_before);
@@ -108,15 +109,15 @@
 
 class ServiceLimitTest : public ::testing::Test {
  protected:
-  ServiceLimitTest() { limit_.SetShare(60.0, 10); }
+  ServiceLimitTest() { limit_.SetCapacity(60.0, 10); }
 
   /// Delivers responses that report `load` requests per slot.
   void Respond(int response_count, double load, int in_flight) {
     for (int i = 0; i < response_count; ++i) {
-      limit_.OnAnswer({.load = load,
-                       .took = milliseconds{300},
-                       .objective = milliseconds{600}},
-                      in_flight);
+      limit_.OnResponse({.load_per_slot = load,
+                         .latency = milliseconds{300},
+                         .objective = milliseconds{600}},
+                        in_flight);
     }
   }
 
@@ -124,13 +125,13 @@
 };
 
 TEST_F(ServiceLimitTest, UnlimitedBeforeTheFirstReport) {
-  EXPECT_TRUE(limit_.HasRoom(1000));
+  EXPECT_TRUE(limit_.HasCapacity(1000));
 }
 
 TEST_F(ServiceLimitTest, QueuesAtTheTargetsReduceTheLimitToHalfTheShare) {
   Respond(500, 4.0, 20);
-  EXPECT_FALSE(limit_.HasRoom(3));
-  EXPECT_TRUE(limit_.HasRoom(2));
+  EXPECT_FALSE(limit_.HasCapacity(3));
+  EXPECT_TRUE(limit_.HasCapacity(2));
 }
 
 // Guards against a limit that rejects requests although a short queue at the
@@ -147,11 +148,11 @@
 TEST_F(ServiceLimitTest, RejectionsDoNotCountAsFastResponses) {
   Respond(500, 1.0, 20);
   for (int i = 0; i < 500; ++i) {
-    limit_.OnAnswer({.load = 1.0,
-                     .served = false,
-                     .took = milliseconds{1},
-                     .objective = milliseconds{600}},
-                    20);
+    limit_.OnResponse({.load_per_slot = 1.0,
+                       .served = false,
+                       .latency = milliseconds{1},
+                       .objective = milliseconds{600}},
+                      20);
   }
   const double limit_before = limit_.limit();
   Respond(500, 2.5, 20);
@@ -164,7 +165,7 @@
   for (int i = 0; i < 500; ++i) {
     Respond(1, 0.5, static_cast<int>(limit_.limit()));
   }
-  EXPECT_TRUE(limit_.HasRoom(20));
+  EXPECT_TRUE(limit_.HasCapacity(20));
 }
 
 // Guards against a burst of requests after a period of light load: a limit that
--- a/tests/worst_load_test.cc
+++ b/tests/worst_load_test.cc
@@ -23,7 +23,7 @@
 
 class RouterLoadTest : public ::testing::TestWithParam<load_case> {
  protected:
-  caller_tally Measure() {
+  caller_results Measure() {
     router_world world({.keyed = GetParam().keyed, .seed = 1});
     const double rate = GetParam().load * world.Capacity();
     world.Run(rate, kLearningTime);
@@ -37,17 +37,17 @@
 // Guards against a FIFO queue in which every request waits until it is late:
 // the targets are busy all the time and yet answer no caller in time.
 TEST_P(OverloadTest, EnoughRequestsAreAnsweredWithinTheObjective) {
-  const caller_tally results = Measure();
-  EXPECT_GE(results.InTimeShare() * GetParam().load, kMinCapacityFraction);
+  const caller_results results = Measure();
+  EXPECT_GE(results.InTimeFraction() * GetParam().load, kMinCapacityFraction);
 }
 
 // Guards against refusals that come late. A caller that is held before it is
 // refused retries too late to be answered within the objective, and its retry
 // still takes a slot from others.
 TEST_P(OverloadTest, MeanTimeToRefusalIsAtMostAnEighthOfTheObjective) {
-  const caller_tally results = Measure();
+  const caller_results results = Measure();
   ASSERT_GT(results.refused, 0U);
-  EXPECT_LE(results.MeanRefusedWait(), router_world_options{}.objective / 8);
+  EXPECT_LE(results.MeanTimeToRefusal(), router_world_options{}.objective / 8);
 }
 
 INSTANTIATE_TEST_SUITE_P(Loads, OverloadTest,
@@ -62,9 +62,9 @@
 // queueing and refuses requests although the targets have free slots. Answers
 // take between a tenth and five times the mean.
 TEST_P(ModerateLoadTest, FewerThanTwoPercentAreRefused) {
-  const caller_tally results = Measure();
+  const caller_results results = Measure();
   EXPECT_LT(static_cast<double>(results.refused),
-            0.02 * static_cast<double>(results.asked));
+            0.02 * static_cast<double>(results.requests));
 }
 
 INSTANTIATE_TEST_SUITE_P(Loads, ModerateLoadTest,
@@ -77,17 +77,17 @@
 /// the targets, chosen anew every 0.4 s, down threefold.
 class ManyHostsTest : public ::testing::Test {
  protected:
-  static caller_tally Measure(bool tells_load, double load) {
+  static caller_results Measure(bool tells_load, double load) {
     router_world world({.hosts = 67,
                         .targets = 64,
-                        .speeds = {0.5, 1.0, 1.0, 1.5},
+                        .target_speeds = {0.5, 1.0, 1.0, 1.5},
                         .keyed = false,
                         .mean_work = std::chrono::milliseconds{240},
                         .objective = std::chrono::milliseconds{600},
-                        .patience = std::chrono::milliseconds{1500},
+                        .caller_timeout = std::chrono::milliseconds{1500},
                         .seed = 1,
-                        .tells_load = tells_load,
-                        .noise = 0.2});
+                        .reports_load = tells_load,
+                        .slowed_fraction = 0.2});
     const double rate = load * world.Capacity();
     world.Run(rate, kLearningTime);
     return world.Run(rate, kMeasuredTime);
@@ -99,30 +99,30 @@
 // every few seconds.
 TEST_F(ManyHostsTest,
        WithReportedLoadsThreeInFourAreInTimeAtEightyPercentLoad) {
-  const caller_tally results = Measure(true, 0.8);
-  EXPECT_GE(results.InTimeShare(), 0.75);
+  const caller_results results = Measure(true, 0.8);
+  EXPECT_GE(results.InTimeFraction(), 0.75);
 }
 
 // Guards against queues at the targets that never drain, so that requests time
 // out in them.
 TEST_F(ManyHostsTest, WithReportedLoadsTimeoutsAreRareAtFullLoad) {
-  const caller_tally results = Measure(true, 1.0);
+  const caller_results results = Measure(true, 1.0);
   EXPECT_LE(static_cast<double>(results.failed),
-            0.05 * static_cast<double>(results.asked));
+            0.05 * static_cast<double>(results.requests));
 }
 
 // Guards against limits that refuse requests although targets have free slots.
 TEST_F(ManyHostsTest, WithReportedLoadsFewAreRefusedAtModerateLoad) {
-  const caller_tally results = Measure(true, 0.6);
+  const caller_results results = Measure(true, 0.6);
   EXPECT_LT(static_cast<double>(results.refused),
-            0.02 * static_cast<double>(results.asked));
+            0.02 * static_cast<double>(results.requests));
 }
 
 // Guards against requests that are held before they are refused.
 TEST_F(ManyHostsTest, WithReportedLoadsRefusalsAreFastUnderOverload) {
-  const caller_tally results = Measure(true, 1.3);
+  const caller_results results = Measure(true, 1.3);
   ASSERT_GT(results.refused, 0U);
-  EXPECT_LE(results.MeanRefusedWait(), std::chrono::milliseconds{600} / 8);
+  EXPECT_LE(results.MeanTimeToRefusal(), std::chrono::milliseconds{600} / 8);
 }
 
 }  // namespace
