--- a/include/foxtailspread/graceful_stop.h
+++ b/include/foxtailspread/graceful_stop.h
@@ -28,7 +28,7 @@
 /// could not tell whether they had been executed.
 ///
 /// @code
-/// graceful_stop stop(grace);
+/// graceful_stop stop(grace_period);
 /// stop.Begin(now);
 /// if (stop.Phase(now, has_pending_work) == stop_phase::kDone) Exit();
 /// @endcode
--- a/include/foxtailspread/key_map.h
+++ b/include/foxtailspread/key_map.h
@@ -47,7 +47,7 @@
   fence_number fence = 0;
   /// The owner has confirmed the grant; requests may be sent to it.
   bool granted = false;
-  /// Set until the previous owner has given up the keys. Only then may they be
+  /// Set until the former owner has given up the keys. Only then may they be
   /// granted to `owner`.
   std::optional<target_life> former_owner{};
 
--- a/include/foxtailspread/range_balance.h
+++ b/include/foxtailspread/range_balance.h
@@ -25,7 +25,7 @@
 /// The input of a plan other than the measured load.
 struct balance_state {
   std::span<const int> buckets;          ///< Those of the range, ascending.
-  std::span<const target_index> owners;  ///< One for each of `buckets`.
+  std::span<const target_index> owners;  ///< One for each of the buckets.
   std::span<const placement_target> targets;
   std::span<const placed_key> keys;  ///< Owned separately now.
   double balance_weight = 0.5;
--- a/include/foxtailspread/request_router.h
+++ b/include/foxtailspread/request_router.h
@@ -289,7 +289,8 @@
                      time_point now, router_actions& out);
   void SendWaiting(service& service_state, time_point now, router_actions& out);
   void SendFromQueue(waiting_queue& queue, time_point now, router_actions& out);
-  /// Sends requests that wait for the slot freed at `freed`, which may be null.
+  /// Sends requests that wait for the slot freed at `freed_target`, which may
+  /// be null.
   void SendAfterFreedSlot(service& service_state,
                           const target_ptr& freed_target, time_point now,
                           router_actions& out);
@@ -320,7 +321,7 @@
   route_table_ptr table_;
   std::set<std::string> evacuated_zones_;
   std::unordered_map<std::string, std::unique_ptr<service>> services_;
-  std::unordered_map<std::string, traffic_splitter> splits_;
+  std::unordered_map<std::string, weighted_round_robin> splits_;
   std::unordered_map<request_id, std::unique_ptr<request>> requests_;
   std::priority_queue<timer, std::vector<timer>, std::greater<>> timers_;
   size_t host_count_ = 8;
--- a/include/foxtailspread/routing_config.h
+++ b/include/foxtailspread/routing_config.h
@@ -102,7 +102,7 @@
 /// round-robin. Each service's share follows its weight at any time; with
 /// random choice the shares of a few hundred requests deviate by several per
 /// cent.
-class traffic_splitter {
+class weighted_round_robin {
  public:
   /// Returns the index of the service for the next request. Weights may change
   /// between calls; if all are zero they count as equal.
--- a/src/core/object_store.cc
+++ b/src/core/object_store.cc
@@ -173,7 +173,7 @@
   reader.Read("zone", host.zone);
   reader.Read("state", host.state);
   if (host.state != "live" && host.state != "leaving") {
-    reader.Fail(error_code::kUnknownName, "state", "unknown host state",
+    reader.Fail(error_code::kUnknownName, "state", "there is no such state",
                 "use live or leaving");
   }
   if (reader.Error()) {
--- a/src/core/routing_config.cc
+++ b/src/core/routing_config.cc
@@ -54,7 +54,8 @@
   return nullptr;
 }
 
-size_t traffic_splitter::Next(const std::vector<weighted_service>& services) {
+size_t weighted_round_robin::Next(
+    const std::vector<weighted_service>& services) {
   if (services.size() < 2) {
     return 0;
   }
--- a/tests/dispatcher_fixture.h
+++ b/tests/dispatcher_fixture.h
@@ -32,7 +32,8 @@
     return targets;
   }
 
-  /// Adds `targets` targets and completes their ramp-up by answered requests.
+  /// Adds `target_count` targets and completes their ramp-up by answered
+  /// requests.
   static void SetUpDispatcher(dispatcher& range, int target_count) {
     range.SetTargets(MakeTargets(target_count), kSlots, 50);
     const std::vector<organisation_rule> rules(2);
--- a/tests/key_map_test.cc
+++ b/tests/key_map_test.cc
@@ -119,7 +119,7 @@
 }
 
 // The previous datagram was lost. Changes applied to an older map would send
-// requests to previous owners.
+// requests to former owners.
 TEST_F(OwnersRecordTest, ChangesToAnotherRevisionAreIgnored) {
   ASSERT_TRUE(ReceiveChanges(11, 12));
   EXPECT_EQ(*assigner_.MapOf("s"), old_map_);
--- a/tests/request_router_test.cc
+++ b/tests/request_router_test.cc
@@ -535,12 +535,12 @@
   EXPECT_LT(sent_count["o0"], 60);
 }
 
-TEST(SplitDealerTest, SharesFollowTheWeightsAfterEveryRequest) {
-  traffic_splitter dealer;
+TEST(WeightedRoundRobinTest, SharesFollowTheWeightsAfterEveryRequest) {
+  weighted_round_robin round_robin;
   const std::vector<weighted_service> parts = {{"a", 90}, {"b", 10}};
   int to_b = 0;
   for (int i = 1; i <= 200; ++i) {
-    to_b += dealer.Next(parts) == 1 ? 1 : 0;
+    to_b += round_robin.Next(parts) == 1 ? 1 : 0;
     EXPECT_NEAR(to_b, i * 0.1, 1.0) << i;
   }
 }
