--- a/include/foxtailspread/foxtailspread.h
+++ b/include/foxtailspread/foxtailspread.h
@@ -43,7 +43,7 @@
 #include "foxtailspread/range_table.h"
 #include "foxtailspread/request_front.h"
 #include "foxtailspread/roster_policy.h"
-#include "foxtailspread/service_estimator.h"
+#include "foxtailspread/service_time_estimator.h"
 #include "foxtailspread/target_machine.h"
 #include "foxtailspread/target_messages.h"
 #include "foxtailspread/target_table.h"
--- a/include/foxtailspread/host_messages.h
+++ b/include/foxtailspread/host_messages.h
@@ -16,9 +16,9 @@
 #include "foxtailspread/error.h"
 #include "foxtailspread/evacuations.h"
 #include "foxtailspread/poison_guard.h"
+#include "foxtailspread/reported_load.h"
 #include "foxtailspread/target_entry.h"
 #include "foxtailspread/time.h"
-#include "foxtailspread/told_load.h"
 
 namespace foxtailspread {
 
--- a/include/foxtailspread/told_load.h
+++ b/include/foxtailspread/reported_load.h
@@ -1,5 +1,5 @@
-#ifndef FOXTAILSPREAD_TOLD_LOAD_H_
-#define FOXTAILSPREAD_TOLD_LOAD_H_
+#ifndef FOXTAILSPREAD_REPORTED_LOAD_H_
+#define FOXTAILSPREAD_REPORTED_LOAD_H_
 
 /// @file
 /// The load that targets report with their responses, and its exchange between
@@ -78,4 +78,4 @@
 
 }  // namespace foxtailspread
 
-#endif  // FOXTAILSPREAD_TOLD_LOAD_H_
+#endif  // FOXTAILSPREAD_REPORTED_LOAD_H_
--- a/include/foxtailspread/service_estimator.h
+++ b/include/foxtailspread/service_time_estimator.h
@@ -1,5 +1,5 @@
-#ifndef FOXTAILSPREAD_SERVICE_ESTIMATOR_H_
-#define FOXTAILSPREAD_SERVICE_ESTIMATOR_H_
+#ifndef FOXTAILSPREAD_SERVICE_TIME_ESTIMATOR_H_
+#define FOXTAILSPREAD_SERVICE_TIME_ESTIMATOR_H_
 
 /// @file
 /// Estimates service times from the answers that this host has received.
@@ -49,4 +49,4 @@
 
 }  // namespace foxtailspread
 
-#endif  // FOXTAILSPREAD_SERVICE_ESTIMATOR_H_
+#endif  // FOXTAILSPREAD_SERVICE_TIME_ESTIMATOR_H_
--- a/include/foxtailspread/target_health.h
+++ b/include/foxtailspread/target_health.h
@@ -14,8 +14,8 @@
 #include <deque>
 #include <utility>
 
+#include "foxtailspread/reported_load.h"
 #include "foxtailspread/time.h"
-#include "foxtailspread/told_load.h"
 
 namespace foxtailspread {
 
--- a/include/foxtailspread/target_table.h
+++ b/include/foxtailspread/target_table.h
@@ -18,7 +18,7 @@
 #include "foxtailspread/config.h"
 #include "foxtailspread/dispatch_types.h"
 #include "foxtailspread/fair_queue.h"
-#include "foxtailspread/service_estimator.h"
+#include "foxtailspread/service_time_estimator.h"
 
 namespace foxtailspread {
 
--- a/src/core/told_load.cc
+++ b/src/core/reported_load.cc
@@ -1,4 +1,4 @@
-#include "foxtailspread/told_load.h"
+#include "foxtailspread/reported_load.h"
 
 #include <algorithm>
 #include <chrono>
--- a/tests/told_load_test.cc
+++ b/tests/reported_load_test.cc
@@ -1,7 +1,7 @@
 // Tests of the load that targets report: how hosts merge and age it, and how it
 // sets expected latencies and limits.
 
-#include "foxtailspread/told_load.h"
+#include "foxtailspread/reported_load.h"
 
 #include <gtest/gtest.h>
 
