--- a/include/foxtailspread/authority.h
+++ b/include/foxtailspread/authority.h
@@ -126,7 +126,7 @@
 /// range_authority authority("history@trnje", self, timing);
 /// authority.SetRecord(record, now);
 /// authority.Tick(now, ledger, requests);     // send the requests
-/// authority.OnPromiseAnswer(witness, answer, now);  // on each answer
+/// authority.OnAnswer(witness, answer, now);  // on each answer
 /// if (now < authority.ActingUntil()) ...     // may send orders to targets
 /// @endcode
 class range_authority {
--- a/include/foxtailspread/host_messages.h
+++ b/include/foxtailspread/host_messages.h
@@ -72,8 +72,8 @@
 
 /// Returns until when a host whose copy matches `view`, received at `now`,
 /// needs no store calls of its own; nothing if the view is too old for that.
-/// `drain_time` is how long a target that has announced that it is draining may
-/// still get requests.
+/// `drain_timeout` is how long a target that has announced that it is draining
+/// may still get requests.
 std::optional<time_point> ViewValidUntil(const store_view& view,
                                          duration drain_timeout,
                                          time_point now);
--- a/src/core/host_messages.cc
+++ b/src/core/host_messages.cc
@@ -328,10 +328,11 @@
   return MalformedMessage();
 }
 
-std::optional<time_point> ViewValidUntil(const store_view& view, duration drain,
+std::optional<time_point> ViewValidUntil(const store_view& view,
+                                         duration drain_timeout,
                                          time_point now) {
   const time_point read_at = now - std::chrono::milliseconds{view.age_ms};
-  const time_point until = read_at + Part(drain, kViewValidFraction);
+  const time_point until = read_at + Part(drain_timeout, kViewValidFraction);
   return until > now ? std::optional{until} : std::nullopt;
 }
 
